--- a/crates/yuccatack_admission/src/fair_queue.rs
+++ b/crates/yuccatack_admission/src/fair_queue.rs
@@ -37,7 +37,7 @@
 
 /// What comes out of a queue.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Taken<Item> {
+pub enum Dequeued<Item> {
     /// The next request to run.
     Next(QueuedRequest<Item>),
     /// A request that cannot be answered before its deadline.
@@ -177,11 +177,11 @@
 
     /// Takes the next request. One that has less than `run_time` left until its deadline comes
     /// out as late, because running it would only take a slot from one that can be answered.
-    pub fn pop(&mut self, now: TimestampMs, run_time: DurationMs) -> Option<Taken<Item>> {
+    pub fn pop(&mut self, now: TimestampMs, run_time: DurationMs) -> Option<Dequeued<Item>> {
         let request = self.classes.iter_mut().find_map(ClassQueue::pop)?;
         if now + run_time >= request.deadline {
-            return Some(Taken::Late(request));
+            return Some(Dequeued::Late(request));
         }
-        Some(Taken::Next(request))
+        Some(Dequeued::Next(request))
     }
 }
--- a/crates/yuccatack_admission/src/lib.rs
+++ b/crates/yuccatack_admission/src/lib.rs
@@ -6,6 +6,6 @@
 mod quota;
 mod retry_budget;
 
-pub use fair_queue::{FairQueue, QueueLimits, QueuedRequest, Taken};
+pub use fair_queue::{Dequeued, FairQueue, QueueLimits, QueuedRequest};
 pub use quota::{OrganisationLimits, QuotaRefusal, QuotaTable};
 pub use retry_budget::{RetryBudget, RetryBudgetSettings};
--- a/crates/yuccatack_admission/src/retry_budget.rs
+++ b/crates/yuccatack_admission/src/retry_budget.rs
@@ -6,12 +6,12 @@
     /// The retries that each first attempt adds, in thousandths.
     pub per_request_milli: u64,
     /// The most retries that can be saved up, so that a quiet hour does not pay for a storm.
-    pub saved_count: u64,
+    pub burst_count: u64,
 }
 
 impl Default for RetryBudgetSettings {
     fn default() -> Self {
-        Self { per_request_milli: 100, saved_count: 20 }
+        Self { per_request_milli: 100, burst_count: 20 }
     }
 }
 
@@ -26,12 +26,12 @@
 impl RetryBudget {
     /// A budget that starts with what can be saved up.
     pub fn new(settings: RetryBudgetSettings) -> Self {
-        Self { settings, balance_milli: settings.saved_count * 1000 }
+        Self { settings, balance_milli: settings.burst_count * 1000 }
     }
 
     /// Counts a first attempt.
     pub fn deposit(&mut self) {
-        let limit = self.settings.saved_count * 1000;
+        let limit = self.settings.burst_count * 1000;
         self.balance_milli = (self.balance_milli + self.settings.per_request_milli).min(limit);
     }
 
--- a/crates/yuccatack_admission/tests/fair_queue.rs
+++ b/crates/yuccatack_admission/tests/fair_queue.rs
@@ -6,7 +6,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use yuccatack_admission::{FairQueue, QueueLimits, QueuedRequest, Taken};
+use yuccatack_admission::{Dequeued, FairQueue, QueueLimits, QueuedRequest};
 use yuccatack_core::prelude::*;
 
 const LIMITS: QueueLimits = QueueLimits { length_count: 100, organisation_share_percent: 50 };
@@ -23,8 +23,8 @@
 
 fn next(queue: &mut FairQueue<u32>) -> QueuedRequest<u32> {
     match queue.pop(TimestampMs::new(0), DurationMs::new(10)).unwrap() {
-        Taken::Next(request) => request,
-        Taken::Late(request) => panic!("late: {request:?}"),
+        Dequeued::Next(request) => request,
+        Dequeued::Late(request) => panic!("late: {request:?}"),
     }
 }
 
@@ -82,7 +82,7 @@
     let mut queue = FairQueue::new(LIMITS);
     queue.push(request("one", 1, PriorityClass::Standard)).unwrap();
     let late = queue.pop(TimestampMs::new(991), DurationMs::new(10));
-    assert!(matches!(late, Some(Taken::Late(_))), "{late:?}");
+    assert!(matches!(late, Some(Dequeued::Late(_))), "{late:?}");
 }
 
 /// Guards against requests that are lost or doubled, and against a queue beyond its bound.
--- a/crates/yuccatack_admission/tests/limits.rs
+++ b/crates/yuccatack_admission/tests/limits.rs
@@ -57,7 +57,7 @@
 /// Guards against retries that multiply an overload.
 #[test]
 fn retry_budget() {
-    let settings = RetryBudgetSettings { per_request_milli: 100, saved_count: 5 };
+    let settings = RetryBudgetSettings { per_request_milli: 100, burst_count: 5 };
     let mut budget = RetryBudget::new(settings);
     let mut retries = 0;
     for _ in 0..1_000 {
--- a/crates/yuccatack_agent/src/process.rs
+++ b/crates/yuccatack_agent/src/process.rs
@@ -101,7 +101,7 @@
     log::info!(event = "agent_started", address:% = bound_address; "the agent accepts attempts");
     let result = tokio::select! {
         result = server => result.context(ServeSnafu),
-        () = shutdown.reached(ShutdownPhase::Aborting) => {
+        () = shutdown.wait_for(ShutdownPhase::Aborting) => {
             Err(AgentError::Aborted { attempt_count: report_left(&sender).await })
         }
     };
@@ -128,7 +128,7 @@
     actor: mpsc::Sender<AgentMessage>,
     mut in_flight: watch::Receiver<usize>,
 ) {
-    shutdown.reached(ShutdownPhase::Draining).await;
+    shutdown.wait_for(ShutdownPhase::Draining).await;
     let (left, leaving) = oneshot::channel();
     // Errors mean that the actor has already ended.
     let _ = actor.send(AgentMessage::Leave { left }).await;
--- a/crates/yuccatack_cli/src/run.rs
+++ b/crates/yuccatack_cli/src/run.rs
@@ -85,7 +85,7 @@
 async fn run_until_stopped(settings: Settings) -> Result<(), RunError> {
     let (trigger, shutdown) = shutdown_channel();
     let aborting = shutdown.clone();
-    tokio::spawn(follow_signals(trigger, drain_limit(&settings)));
+    tokio::spawn(handle_signals(trigger, drain_limit(&settings)));
     log::info!(event = "process_started", role = role(&settings); "started");
     tokio::select! {
         outcome = run_role(settings, shutdown.clone()) => outcome?,
@@ -99,8 +99,8 @@
     Ok(())
 }
 
-async fn follow_signals(trigger: ShutdownTrigger, drain_limit: Duration) {
-    if let Err(error) = trigger.follow_signals(drain_limit).await {
+async fn handle_signals(trigger: ShutdownTrigger, drain_limit: Duration) {
+    if let Err(error) = trigger.handle_signals(drain_limit).await {
         log::error!(
             event = "signals_unavailable", error:% = error;
             "cannot receive signals; the process can only be killed"
@@ -110,7 +110,7 @@
 
 /// Ends a little after the abort, so that the role can log what it leaves unfinished.
 async fn abort_finished(mut shutdown: Shutdown) {
-    shutdown.reached(ShutdownPhase::Aborting).await;
+    shutdown.wait_for(ShutdownPhase::Aborting).await;
     if shutdown.phase() != ShutdownPhase::Aborting {
         // The trigger is gone, so that no abort can come.
         std::future::pending::<()>().await;
--- a/crates/yuccatack_cli/tests/example_files.rs
+++ b/crates/yuccatack_cli/tests/example_files.rs
@@ -12,7 +12,7 @@
 use support::run;
 use yuccatack_cli::ExitStatus;
 use yuccatack_core::prelude::*;
-use yuccatack_placement::{Cluster, GuaranteedShape, WorkerCell, pack};
+use yuccatack_placement::{Cluster, GuaranteedShape, WorkerCapacity, pack};
 use yuccatack_records::{Change, ChangeOutcome, Operation, Record, RecordStore};
 use yuccatack_settings::{AgentSettings, ControlSettings, EntrySettings, Settings};
 
@@ -195,7 +195,7 @@
 /// What the workers offer without the reserve of each data centre.
 fn offered(cluster: &Cluster, reserve_worker_count: u32) -> Vec<Resources> {
     let mut seen = vec![0; cluster.data_centre_count() as usize];
-    let offer = |(_, cell): (u32, &WorkerCell)| {
+    let offer = |(_, cell): (u32, &WorkerCapacity)| {
         let seen = &mut seen[cell.data_centre as usize];
         *seen += 1;
         if *seen <= reserve_worker_count { Resources::default() } else { cell.total }
--- a/crates/yuccatack_control/src/process.rs
+++ b/crates/yuccatack_control/src/process.rs
@@ -82,7 +82,7 @@
     );
 
     let result = tokio::select! {
-        () = shutdown.reached(ShutdownPhase::Draining) => drain(&actor, &mut shutdown).await,
+        () = shutdown.wait_for(ShutdownPhase::Draining) => drain(&actor, &mut shutdown).await,
         _ = &mut feed => Err(ControlError::LogStopped),
         ended = &mut server => Err(server_failure(ended)),
     };
@@ -180,7 +180,7 @@
     };
     tokio::select! {
         () = finish => Ok(()),
-        () = shutdown.reached(ShutdownPhase::Aborting) => {
+        () = shutdown.wait_for(ShutdownPhase::Aborting) => {
             let waiting_count = waiting_count(actor).await;
             Err(ControlError::Aborted { waiting_count })
         }
--- a/crates/yuccatack_control/src/workers.rs
+++ b/crates/yuccatack_control/src/workers.rs
@@ -40,7 +40,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = shutdown.reached(ShutdownPhase::Draining) => return,
+            () = shutdown.wait_for(ShutdownPhase::Draining) => return,
         };
         match accepted {
             Ok((stream, peer)) => {
--- a/crates/yuccatack_entry/src/balancer/actor.rs
+++ b/crates/yuccatack_entry/src/balancer/actor.rs
@@ -5,8 +5,8 @@
 
 use tokio::sync::{mpsc, oneshot};
 use yuccatack_admission::{
-    FairQueue, OrganisationLimits, QueueLimits, QueuedRequest, QuotaRefusal, QuotaTable,
-    RetryBudget, RetryBudgetSettings, Taken,
+    Dequeued, FairQueue, OrganisationLimits, QueueLimits, QueuedRequest, QuotaRefusal, QuotaTable,
+    RetryBudget, RetryBudgetSettings,
 };
 use yuccatack_core::prelude::*;
 use yuccatack_requests::dispatch::{ChoiceKind, Target};
@@ -271,13 +271,13 @@
         let run_time = typical + typical;
         while self.router.may_choose(service, self.now()) {
             match queue.pop(self.now(), run_time) {
-                Some(Taken::Next(queued)) => {
+                Some(Dequeued::Next(queued)) => {
                     if let Some(request) = self.try_choose(queued.item) {
                         // Another minion was full after all; the request waits again.
                         let _ = request.reply.send(Err(queue_full()));
                     }
                 }
-                Some(Taken::Late(queued)) => {
+                Some(Dequeued::Late(queued)) => {
                     let _ = queued.item.reply.send(Err(late()));
                 }
                 None => return,
--- a/crates/yuccatack_entry/src/process.rs
+++ b/crates/yuccatack_entry/src/process.rs
@@ -116,7 +116,7 @@
     log::info!(event = "entry_draining"; "finishing requests");
     let result = tokio::select! {
         _ = connections.acquire_many(CONNECTION_COUNT_LIMIT) => Ok(()),
-        () = shutdown.reached(ShutdownPhase::Aborting) => {
+        () = shutdown.wait_for(ShutdownPhase::Aborting) => {
             Err(EntryError::Aborted { request_count: report_left(&balancer_sender).await })
         }
     };
@@ -156,7 +156,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = accept_one(listener, connections) => accepted,
-            () = shutdown.reached(ShutdownPhase::Draining) => return,
+            () = shutdown.wait_for(ShutdownPhase::Draining) => return,
         };
         match accepted {
             Ok((stream, permit)) => {
--- a/crates/yuccatack_entry/src/server.rs
+++ b/crates/yuccatack_entry/src/server.rs
@@ -108,7 +108,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut ended = tokio::select! {
         ended = &mut connection => Some(ended),
-        () = shutdown.reached(ShutdownPhase::Draining) => None,
+        () = shutdown.wait_for(ShutdownPhase::Draining) => None,
     };
     if ended.is_none() {
         Pin::new(&mut connection).graceful_shutdown();
--- a/crates/yuccatack_leases/src/attempt.rs
+++ b/crates/yuccatack_leases/src/attempt.rs
@@ -104,7 +104,7 @@
         let was_booked = slot.state == TaskState::Booked;
         let (worker, mask) = (slot.worker, std::mem::take(&mut slot.accelerator_mask));
         slot.state = TaskState::Ended(outcome);
-        self.cluster.return_accelerators(worker, mask);
+        self.cluster.release_accelerators(worker, mask);
         self.cluster.update(worker, |cell| {
             let held = if was_booked { &mut cell.booked } else { &mut cell.used };
             *held = minus(held, &task);
@@ -149,7 +149,7 @@
             return;
         }
         let JobPhase::Active(attempt) = &mut entry.phase else { return };
-        let mask = self.cluster.take_accelerators(worker, task.accelerator_count);
+        let mask = self.cluster.allocate_accelerators(worker, task.accelerator_count);
         let slot = &mut attempt.tasks[key.index as usize];
         slot.accelerator_mask = mask;
         slot.state = TaskState::Assigned;
--- a/crates/yuccatack_leases/src/claim.rs
+++ b/crates/yuccatack_leases/src/claim.rs
@@ -1,7 +1,7 @@
 //! The choice of a guaranteed shape to claim.
 
 use yuccatack_core::prelude::*;
-use yuccatack_placement::{Assignment, Holding, WorkerIndex, place, slot_count};
+use yuccatack_placement::{AllocationKind, Assignment, WorkerIndex, place, slot_count};
 
 use crate::job::JobEntry;
 use crate::message::Claim;
@@ -92,12 +92,12 @@
         let mut request = self.request(job, &[]);
         request.shape = entry.spec.shape;
         request.data_centres = &centres;
-        request.holding = Holding::Firm;
+        request.allocation_kind = AllocationKind::Firm;
         request.reservation = None;
         let found = place(&self.overlay, &request);
         self.search_count += 1;
         for (worker, amount) in &amounts {
-            self.overlay.rereserve(*worker, amount);
+            self.overlay.restore_reserved(*worker, amount);
         }
         let binding: Vec<(WorkerIndex, u32)> =
             found?.assignments.iter().map(|part| (part.worker, part.task_count)).collect();
--- a/crates/yuccatack_leases/src/defragment.rs
+++ b/crates/yuccatack_leases/src/defragment.rs
@@ -185,7 +185,7 @@
             let Some(found) = place(&overlay, &request) else { return false };
             for part in found.assignments {
                 if let Some(amount) = job.spec.shape.task.checked_mul(part.task_count) {
-                    overlay.take(part.worker, &amount, false);
+                    overlay.allocate(part.worker, &amount, false);
                 }
             }
         }
--- a/crates/yuccatack_leases/src/schedule.rs
+++ b/crates/yuccatack_leases/src/schedule.rs
@@ -2,7 +2,7 @@
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{
-    Assignment, DemandProfile, Holding, Overlay, Placement, Request, Reservation, Weights,
+    AllocationKind, Assignment, DemandProfile, Overlay, Placement, Request, Reservation, Weights,
     WorkerIndex, best_fit, first_fit, place,
 };
 
@@ -356,14 +356,18 @@
         Request {
             shape: job.spec.shape,
             data_centres: &[],
-            holding: if reclaimable { Holding::Borrowed } else { Holding::Firm },
+            allocation_kind: if reclaimable {
+                AllocationKind::Borrowed
+            } else {
+                AllocationKind::Firm
+            },
             excluded,
             reservation: self
                 .reservation
                 .as_ref()
                 .filter(|_| job.spec.class != PriorityClass::Urgent),
             expected_end: self.now + self.table.expected_run_time(job, BACKFILL_QUANTILE),
-            yields: job.spec.checkpointable,
+            preemptible: job.spec.checkpointable,
             profile: &self.profile,
             weights: Weights {
                 completion: policy.completion_weight,
@@ -374,10 +378,10 @@
 
     fn place_unclaimed(&mut self, job: &JobEntry, excluded: &[WorkerIndex]) -> Option<Placement> {
         let request = self.request(job, excluded);
-        let barred = request
-            .reservation
-            .is_some_and(|reservation| reservation.bars(request.expected_end, request.yields));
-        let key = (request.shape, request.holding == Holding::Firm, barred);
+        let barred = request.reservation.is_some_and(|reservation| {
+            reservation.excludes(request.expected_end, request.preemptible)
+        });
+        let key = (request.shape, request.allocation_kind == AllocationKind::Firm, barred);
         if self.failed.contains(&key) {
             return None;
         }
@@ -411,7 +415,7 @@
         let firm = claim.is_none() && !job.spec.is_reclaimable();
         for part in &parts {
             if let Some(amount) = job.spec.shape.task.checked_mul(part.task_count) {
-                self.overlay.take(part.worker, &amount, firm);
+                self.overlay.allocate(part.worker, &amount, firm);
             }
         }
         if let Some(claim) = &claim
@@ -424,8 +428,8 @@
             for part in &claim.binding {
                 let worker = self.table.cluster.worker_index(&part.worker);
                 if let Some((worker, amount)) = worker.zip(task.checked_mul(part.task_count)) {
-                    self.overlay.take(worker, &amount, true);
-                    self.overlay.untake(worker, &amount, false);
+                    self.overlay.allocate(worker, &amount, true);
+                    self.overlay.release(worker, &amount, false);
                 }
             }
         }
--- a/crates/yuccatack_lifecycle/src/lib.rs
+++ b/crates/yuccatack_lifecycle/src/lib.rs
@@ -50,7 +50,7 @@
     /// Drains on the first SIGTERM or SIGINT; aborts on the second or after `drain_limit`.
     ///
     /// Returns once the phase is [`ShutdownPhase::Aborting`].
-    pub async fn follow_signals(self, drain_limit: Duration) -> io::Result<()> {
+    pub async fn handle_signals(self, drain_limit: Duration) -> io::Result<()> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
         tokio::select! {
@@ -76,7 +76,7 @@
     }
 
     /// Waits until the phase is `phase` or a later one, or until the trigger is gone.
-    pub async fn reached(&mut self, phase: ShutdownPhase) {
+    pub async fn wait_for(&mut self, phase: ShutdownPhase) {
         // An error means that the trigger was dropped, after which no phase can follow.
         let _ = self.receiver.wait_for(|current| *current >= phase).await;
     }
--- a/crates/yuccatack_placement/src/cluster.rs
+++ b/crates/yuccatack_placement/src/cluster.rs
@@ -27,7 +27,7 @@
 /// Two bounds hold at all times: `used` never exceeds `total`, and on a schedulable worker `firm`
 /// plus `reserved` never exceeds `total`. The second one is what makes a guarantee reclaimable.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WorkerCell {
+pub struct WorkerCapacity {
     /// The worker.
     pub name: WorkerName,
     /// Its data centre.
@@ -67,7 +67,7 @@
     }
 }
 
-impl WorkerCell {
+impl WorkerCapacity {
     /// What a new attempt may use at once.
     pub fn free(&self) -> Resources {
         saturating_sub(&self.total, &sum(&self.used, &self.booked))
@@ -97,7 +97,7 @@
 /// All workers with their capacity, indexed by data centre, rack and free amount.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cluster {
-    pub(crate) cells: Vec<Option<WorkerCell>>,
+    pub(crate) cells: Vec<Option<WorkerCapacity>>,
     vacant: Vec<WorkerIndex>,
     by_name: BTreeMap<WorkerName, WorkerIndex>,
     pub(crate) racks: Vec<Rack>,
@@ -119,7 +119,7 @@
         }
         let data_centre = self.intern_data_centre(data_centre);
         let rack = self.intern_rack(data_centre, rack);
-        let cell = WorkerCell {
+        let cell = WorkerCapacity {
             name: name.clone(),
             data_centre,
             rack,
@@ -161,12 +161,12 @@
     }
 
     /// The capacity of a worker.
-    pub fn worker(&self, index: WorkerIndex) -> Option<&WorkerCell> {
+    pub fn worker(&self, index: WorkerIndex) -> Option<&WorkerCapacity> {
         self.cells.get(index as usize).and_then(Option::as_ref)
     }
 
     /// Every worker, in the order of their indexes.
-    pub fn workers(&self) -> impl Iterator<Item = (WorkerIndex, &WorkerCell)> {
+    pub fn workers(&self) -> impl Iterator<Item = (WorkerIndex, &WorkerCapacity)> {
         self.cells
             .iter()
             .enumerate()
@@ -229,7 +229,7 @@
     /// Changes a worker's capacity and keeps the index up to date.
     pub fn update<Change>(&mut self, index: WorkerIndex, change: Change)
     where
-        Change: FnOnce(&mut WorkerCell),
+        Change: FnOnce(&mut WorkerCapacity),
     {
         self.unlink(index);
         if let Some(cell) = self.cells.get_mut(index as usize).and_then(Option::as_mut) {
@@ -242,7 +242,7 @@
     ///
     /// Aligned groups of 2, 4 and 8 share the fast links of a worker; a request that no aligned
     /// group can serve gets whatever is free.
-    pub fn take_accelerators(&mut self, index: WorkerIndex, count: u32) -> u64 {
+    pub fn allocate_accelerators(&mut self, index: WorkerIndex, count: u32) -> u64 {
         let Some(cell) = self.cells.get_mut(index as usize).and_then(Option::as_mut) else {
             return 0;
         };
@@ -253,7 +253,7 @@
     }
 
     /// Gives accelerators of a worker back.
-    pub fn return_accelerators(&mut self, index: WorkerIndex, mask: u64) {
+    pub fn release_accelerators(&mut self, index: WorkerIndex, mask: u64) {
         if let Some(cell) = self.cells.get_mut(index as usize).and_then(Option::as_mut) {
             cell.accelerator_mask &= !mask;
         }
--- a/crates/yuccatack_placement/src/lib.rs
+++ b/crates/yuccatack_placement/src/lib.rs
@@ -14,11 +14,11 @@
 mod search;
 
 pub use baseline::{best_fit, first_fit};
-pub use cluster::{Cluster, DataCentreIndex, RackIndex, WorkerCell, WorkerIndex};
+pub use cluster::{Cluster, DataCentreIndex, RackIndex, WorkerCapacity, WorkerIndex};
 pub use fragmentation::{DemandProfile, WeightedShape, fragmentation, release_gain, remainder};
 pub use guarantee::{GuaranteedShape, PackError, nearest_fit, pack, pack_one};
 pub use overlay::Overlay;
-pub use search::{Assignment, Holding, Placement, Request, Reservation, Weights, place};
+pub use search::{AllocationKind, Assignment, Placement, Request, Reservation, Weights, place};
 
 /// How many tasks that need `task` each fit into `available`.
 pub fn slot_count(available: &yuccatack_core::Resources, task: &yuccatack_core::Resources) -> u32 {
--- a/crates/yuccatack_placement/src/overlay.rs
+++ b/crates/yuccatack_placement/src/overlay.rs
@@ -58,7 +58,7 @@
     }
 
     /// Records that an attempt takes capacity.
-    pub fn take(&mut self, worker: WorkerIndex, amount: &Resources, firm: bool) {
+    pub fn allocate(&mut self, worker: WorkerIndex, amount: &Resources, firm: bool) {
         let change = self.changes.entry(worker).or_default();
         change.taken = sum(&change.taken, amount);
         if firm {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Takes back what [`Overlay::take`] recorded.
-    pub fn untake(&mut self, worker: WorkerIndex, amount: &Resources, firm: bool) {
+    /// Takes back what [`Overlay::allocate`] recorded.
+    pub fn release(&mut self, worker: WorkerIndex, amount: &Resources, firm: bool) {
         let change = self.changes.entry(worker).or_default();
         change.taken = saturating_sub(&change.taken, amount);
         if firm {
@@ -82,7 +82,7 @@
     }
 
     /// Takes back what [`Overlay::unreserve`] recorded.
-    pub fn rereserve(&mut self, worker: WorkerIndex, amount: &Resources) {
+    pub fn restore_reserved(&mut self, worker: WorkerIndex, amount: &Resources) {
         let change = self.changes.entry(worker).or_default();
         change.unreserved = saturating_sub(&change.unreserved, amount);
     }
--- a/crates/yuccatack_placement/src/search.rs
+++ b/crates/yuccatack_placement/src/search.rs
@@ -28,7 +28,7 @@
 
 /// How an attempt holds its capacity.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Holding {
+pub enum AllocationKind {
     /// May be reclaimed, so it may use capacity that is set aside for guarantees.
     Borrowed,
     /// Keeps its capacity to the end, so it stays off what is set aside for guarantees.
@@ -48,8 +48,8 @@
 
 impl Reservation {
     /// Whether a job must stay off the reserved workers.
-    pub fn bars(&self, expected_end: TimestampMs, yields: bool) -> bool {
-        self.exclusive || (!yields && expected_end > self.start_at)
+    pub fn excludes(&self, expected_end: TimestampMs, preemptible: bool) -> bool {
+        self.exclusive || (!preemptible && expected_end > self.start_at)
     }
 }
 
@@ -70,7 +70,7 @@
     /// Where it may run; empty means anywhere.
     pub data_centres: &'a [DataCentreIndex],
     /// How it holds its capacity.
-    pub holding: Holding,
+    pub allocation_kind: AllocationKind,
     /// Workers that must not be used, because the job failed on them.
     pub excluded: &'a [WorkerIndex],
     /// Capacity that another job waits for.
@@ -78,7 +78,7 @@
     /// When the job is expected to end if it starts now.
     pub expected_end: TimestampMs,
     /// Whether the job can be checkpointed to give way to the holder of the reservation.
-    pub yields: bool,
+    pub preemptible: bool,
     /// The shapes that should remain servable.
     pub profile: &'a DemandProfile,
     /// The weights of the score.
@@ -148,16 +148,18 @@
         return 0;
     }
     let kept_free = request.reservation.is_some_and(|reservation| {
-        reservation.bars(request.expected_end, request.yields)
+        reservation.excludes(request.expected_end, request.preemptible)
             && reservation.workers.contains(&worker)
     });
     if kept_free {
         return 0;
     }
     let slots = slot_count(&overlay.free(worker), &request.shape.task);
-    match request.holding {
-        Holding::Borrowed => slots,
-        Holding::Firm => slots.min(slot_count(&overlay.firm_headroom(worker), &request.shape.task)),
+    match request.allocation_kind {
+        AllocationKind::Borrowed => slots,
+        AllocationKind::Firm => {
+            slots.min(slot_count(&overlay.firm_headroom(worker), &request.shape.task))
+        }
     }
 }
 
--- a/crates/yuccatack_placement/tests/place_gang.rs
+++ b/crates/yuccatack_placement/tests/place_gang.rs
@@ -35,11 +35,11 @@
     Request {
         shape,
         data_centres: &[],
-        holding: Holding::Borrowed,
+        allocation_kind: AllocationKind::Borrowed,
         excluded: &[],
         reservation: None,
         expected_end: TimestampMs::new(100),
-        yields: false,
+        preemptible: false,
         profile,
         weights: Weights { completion: 1.0, fragmentation: 1.0 },
     }
@@ -89,7 +89,7 @@
     }
     let profile = DemandProfile::default();
     let mut firm = request(shape(1, 8, Adjacency::Worker), &profile);
-    firm.holding = Holding::Firm;
+    firm.allocation_kind = AllocationKind::Firm;
     assert_eq!(placed(&cluster, &firm), Some(vec![(7, 1)]));
     firm.excluded = &[7];
     assert_eq!(placed(&cluster, &firm), None);
@@ -109,12 +109,12 @@
     assert!(placed(&cluster, &late).is_none());
     let early = Request { expected_end: TimestampMs::new(40), ..late.clone() };
     assert!(placed(&cluster, &early).is_some());
-    let yielding = Request { yields: true, ..late.clone() };
+    let yielding = Request { preemptible: true, ..late.clone() };
     assert!(placed(&cluster, &yielding).is_some());
     reservation.exclusive = true;
     let barred = Request {
         reservation: Some(&reservation),
-        yields: true,
+        preemptible: true,
         ..request(shape(1, 1, Adjacency::Worker), &profile)
     };
     assert!(placed(&cluster, &barred).is_none());
@@ -131,7 +131,7 @@
     while let Some(placement) = place(&overlay, &request) {
         let worker = placement.assignments[0].worker;
         assert!(seen.insert(worker));
-        overlay.take(worker, &resources(8), false);
+        overlay.allocate(worker, &resources(8), false);
     }
     assert_eq!(seen.len(), 8);
 }
@@ -141,12 +141,12 @@
 #[test]
 fn aligned_accelerators() {
     let mut cluster = cluster();
-    assert_eq!(cluster.take_accelerators(0, 1), 0b1);
-    assert_eq!(cluster.take_accelerators(0, 4), 0b1111_0000);
-    assert_eq!(cluster.take_accelerators(0, 2), 0b1100);
-    assert_eq!(cluster.take_accelerators(0, 1), 0b10);
-    cluster.return_accelerators(0, 0b1100);
-    assert_eq!(cluster.take_accelerators(0, 2), 0b1100);
+    assert_eq!(cluster.allocate_accelerators(0, 1), 0b1);
+    assert_eq!(cluster.allocate_accelerators(0, 4), 0b1111_0000);
+    assert_eq!(cluster.allocate_accelerators(0, 2), 0b1100);
+    assert_eq!(cluster.allocate_accelerators(0, 1), 0b10);
+    cluster.release_accelerators(0, 0b1100);
+    assert_eq!(cluster.allocate_accelerators(0, 2), 0b1100);
 }
 
 /// Guards against a measure that counts room for a whole gang as unusable, or the reverse.
--- a/crates/yuccatack_queue_control/src/process.rs
+++ b/crates/yuccatack_queue_control/src/process.rs
@@ -84,7 +84,7 @@
             ended => return ended,
         }
         tokio::select! {
-            () = shutdown.reached(ShutdownPhase::Draining) => return Ok(()),
+            () = shutdown.wait_for(ShutdownPhase::Draining) => return Ok(()),
             () = sleep(DISK_FULL_RETRY) => {}
         }
     }
@@ -129,7 +129,7 @@
         "the replica answers"
     );
     let result = tokio::select! {
-        () = shutdown.reached(ShutdownPhase::Draining) => {
+        () = shutdown.wait_for(ShutdownPhase::Draining) => {
             drain(&actor, &replication).await;
             Ok(())
         }
--- a/crates/yuccatack_telemetry/src/burn/reporter.rs
+++ b/crates/yuccatack_telemetry/src/burn/reporter.rs
@@ -38,7 +38,7 @@
         loop {
             tokio::select! {
                 _ = interval.tick() => self.sample(),
-                () = shutdown.reached(ShutdownPhase::Aborting) => return,
+                () = shutdown.wait_for(ShutdownPhase::Aborting) => return,
             }
         }
     }
--- a/crates/yuccatack_telemetry/src/server.rs
+++ b/crates/yuccatack_telemetry/src/server.rs
@@ -96,7 +96,7 @@
         loop {
             let accepted = tokio::select! {
                 accepted = self.listener.accept() => accepted,
-                () = shutdown.reached(ShutdownPhase::Aborting) => break,
+                () = shutdown.wait_for(ShutdownPhase::Aborting) => break,
             };
             match accepted {
                 Ok((stream, _)) => serve(stream, self.content.clone(), &connections),
--- a/crates/yuccatack_worker_agent/src/agent.rs
+++ b/crates/yuccatack_worker_agent/src/agent.rs
@@ -128,7 +128,7 @@
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                () = shutdown.reached(ShutdownPhase::Draining) => return,
+                () = shutdown.wait_for(ShutdownPhase::Draining) => return,
                 Some(event) = finished.recv() => agent.on_event(event),
                 Some(announcement) = announcements.recv() => agent.on_announcement(announcement),
                 frame = receive(&mut agent.stream) => agent.on_frame(frame),
