--- a/crates/yuccatack_control/src/actor.rs
+++ b/crates/yuccatack_control/src/actor.rs
@@ -332,7 +332,7 @@
         metrics.view.set_revision(self.state.records().revision());
         let Role::Leader(lead) = &self.role else { return };
         observe::observe_state(metrics, self.state.leases());
-        metrics.capacity.set_fragmentation(lead.volatile().fragmentation(self.state.leases()));
+        metrics.capacity.set_fragmentation(lead.scheduler().fragmentation(self.state.leases()));
         let in_force = self.publisher.in_force(self.state.records().revision()).await;
         let missing_count = u32::try_from(in_force.missing_nodes.len()).unwrap_or(u32::MAX);
         metrics.view.set_nodes_not_in_force(missing_count);
@@ -447,12 +447,12 @@
             }
             Query::Status => {
                 let replication = self.replication.status().borrow().clone();
-                let volatile = match &self.role {
-                    Role::Leader(lead) => Some((lead.volatile(), self.clock.now())),
+                let scheduler = match &self.role {
+                    Role::Leader(lead) => Some((lead.scheduler(), self.clock.now())),
                     Role::Follower { .. } => None,
                 };
                 let document =
-                    queries::status(&self.state, &replication, &self.publisher, volatile).await;
+                    queries::status(&self.state, &replication, &self.publisher, scheduler).await;
                 QueryAnswer::Document(document)
             }
             Query::Job(name) => QueryAnswer::Document(queries::job(&self.state, &name)),
--- a/crates/yuccatack_control/src/lead.rs
+++ b/crates/yuccatack_control/src/lead.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use yuccatack_core::prelude::*;
-use yuccatack_leases::{HeartbeatReport, LeaseCommand, LeaseTable, Volatile};
+use yuccatack_leases::{HeartbeatReport, LeaseCommand, LeaseTable, Scheduler};
 
 use crate::heartbeat;
 use crate::held::{Held, HeldHeartbeats};
@@ -19,7 +19,7 @@
 /// An answer that grants a lease goes out only after a leadership check that began later than the
 /// heartbeat was handled, so that a deposed leader grants nothing.
 pub struct Lead {
-    volatile: Volatile,
+    scheduler: Scheduler,
     held: HeldHeartbeats,
     unconfirmed: Vec<WaitingAnswer>,
     /// The answers that the leadership check on its way will release.
@@ -31,7 +31,7 @@
     /// The memory of a leader that starts now.
     pub fn new(now: TimestampMs) -> Self {
         Self {
-            volatile: Volatile::new(now),
+            scheduler: Scheduler::new(now),
             held: HeldHeartbeats::default(),
             unconfirmed: Vec::new(),
             confirming: Vec::new(),
@@ -40,13 +40,13 @@
     }
 
     /// What the leader knows of workers.
-    pub const fn volatile(&self) -> &Volatile {
-        &self.volatile
+    pub const fn scheduler(&self) -> &Scheduler {
+        &self.scheduler
     }
 
     /// What the scheduler decides now.
     pub fn schedule(&mut self, leases: &LeaseTable, now: TimestampMs) -> Vec<LeaseCommand> {
-        self.volatile.schedule(leases, now)
+        self.scheduler.schedule(leases, now)
     }
 
     /// Handles a heartbeat; the answer is held while it has nothing to say.
@@ -58,7 +58,7 @@
         now: TimestampMs,
     ) -> Vec<LeaseCommand> {
         let worker = report.registration.worker.clone();
-        let (answer, commands) = self.volatile.heartbeat(leases, report, now);
+        let (answer, commands) = self.scheduler.heartbeat(leases, report, now);
         if HeldHeartbeats::may_hold(&answer) {
             let held = Held { reply, answer, received_at: now };
             if let Some(replaced) = self.held.insert(worker.clone(), held) {
@@ -115,7 +115,7 @@
     }
 
     fn release(&mut self, leases: &LeaseTable, worker: &WorkerName, mut held: Held) {
-        held.answer.commands = self.volatile.commands_for(leases, worker);
+        held.answer.commands = self.scheduler.commands_for(leases, worker);
         self.unconfirmed.push((held.reply, heartbeat::encode(held.answer)));
     }
 }
--- a/crates/yuccatack_control/src/observe.rs
+++ b/crates/yuccatack_control/src/observe.rs
@@ -37,7 +37,7 @@
     let outcome = match &entry.phase {
         JobPhase::Succeeded => JobOutcome::Succeeded,
         JobPhase::Failed(_) => JobOutcome::Failed,
-        JobPhase::Refused(_) if entry.is_not_run() => JobOutcome::NotRun,
+        JobPhase::Refused(_) if entry.has_never_run() => JobOutcome::NotRun,
         JobPhase::Refused(_) => JobOutcome::Failed,
         JobPhase::Cancelled => JobOutcome::Cancelled,
         JobPhase::Unknown(_) => JobOutcome::Unknown,
--- a/crates/yuccatack_control/src/queries.rs
+++ b/crates/yuccatack_control/src/queries.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use yuccatack_core::prelude::*;
-use yuccatack_leases::{JobStatus, LeaseTable, Volatile, WaitReason, WorkerHealth};
+use yuccatack_leases::{JobStatus, LeaseTable, Scheduler, WaitReason, WorkerHealth};
 use yuccatack_replication::{LogIndex, ReplicaId, ReplicationStatus};
 use yuccatack_view::{InForce, MinionState, ViewPublisher};
 
@@ -33,7 +33,7 @@
     state: &ControlState,
     replication: &ReplicationStatus,
     publisher: &ViewPublisher,
-    volatile: Option<(&Volatile, TimestampMs)>,
+    scheduler: Option<(&Scheduler, TimestampMs)>,
 ) -> Value {
     let published = publisher.status().await;
     let in_force = publisher.in_force(state.records().revision()).await;
@@ -45,7 +45,7 @@
             "not_yet_in_force": names(&in_force.missing_nodes),
         },
         "minions": published.minions.iter().map(|entry| minion_document(entry)).collect::<Vec<_>>(),
-        "workers": workers_document(state.leases(), volatile),
+        "workers": workers_document(state.leases(), scheduler),
         "guarantees": guarantees_document(state.leases()),
         "waiting_jobs": state.leases().waiting_job_count(),
         "claims": state.claims().len(),
@@ -100,7 +100,7 @@
     })
 }
 
-fn workers_document(leases: &LeaseTable, volatile: Option<(&Volatile, TimestampMs)>) -> Value {
+fn workers_document(leases: &LeaseTable, scheduler: Option<(&Scheduler, TimestampMs)>) -> Value {
     let workers = leases.workers().map(|(name, worker)| {
         let health = match &worker.health {
             WorkerHealth::Healthy => "healthy",
@@ -110,7 +110,7 @@
         json!({
             "worker": name.as_str(),
             "health": health,
-            "has_lease": volatile.is_some_and(|(volatile, now)| volatile.has_lease(name, now)),
+            "has_lease": scheduler.is_some_and(|(scheduler, now)| scheduler.has_lease(name, now)),
             "accelerator_count": worker.resources.accelerator_count,
         })
     });
--- a/crates/yuccatack_leases/examples/decision_time/main.rs
+++ b/crates/yuccatack_leases/examples/decision_time/main.rs
@@ -77,7 +77,7 @@
 
 struct Driver {
     table: LeaseTable,
-    leader: Volatile,
+    leader: Scheduler,
     now: u64,
 }
 
@@ -124,7 +124,7 @@
 fn measure(worker_count: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut driver =
-        Driver { table: LeaseTable::new(), leader: Volatile::new(TimestampMs::new(0)), now: 0 };
+        Driver { table: LeaseTable::new(), leader: Scheduler::new(TimestampMs::new(0)), now: 0 };
     let empty = ALLOCATED_BYTES.load(Ordering::Relaxed);
     for worker in (0..worker_count).filter_map(registration) {
         let at = driver.at();
@@ -260,7 +260,7 @@
     /// Times the handling of one heartbeat of every worker.
     fn time_heartbeats(&mut self) {
         let Ok(mut handling) = Histogram::<u64>::new(3) else { return };
-        let mut leader = Volatile::new(self.at());
+        let mut leader = Scheduler::new(self.at());
         let names: Vec<WorkerName> = self.table.workers().map(|(name, _)| name.clone()).collect();
         for name in &names {
             let number = name.as_str().trim_start_matches("worker-").parse().unwrap_or(0);
--- a/crates/yuccatack_leases/examples/replay/engine.rs
+++ b/crates/yuccatack_leases/examples/replay/engine.rs
@@ -46,7 +46,7 @@
 struct Engine {
     now: u64,
     table: LeaseTable,
-    leader: Volatile,
+    leader: Scheduler,
     workers: Vec<WorkerModel>,
     off_until: Vec<u64>,
     next_heartbeat: Vec<u64>,
@@ -160,7 +160,7 @@
     let mut engine = Engine {
         now: 1_000,
         table: LeaseTable::new(),
-        leader: Volatile::new(TimestampMs::new(1_000)).with_strategy(strategy),
+        leader: Scheduler::new(TimestampMs::new(1_000)).with_strategy(strategy),
         workers: models.collect(),
         off_until: vec![0; count],
         next_heartbeat: vec![0; count],
--- a/crates/yuccatack_leases/src/attempt.rs
+++ b/crates/yuccatack_leases/src/attempt.rs
@@ -8,7 +8,7 @@
 use crate::message::{LeaseEvent, StopReason, TaskOutcome};
 use crate::table::LeaseTable;
 use crate::worker::TaskKey;
-use crate::{CHECKPOINT_LIMIT, MAX_FAILED_WORKERS, PREPARE_LIMIT};
+use crate::{CHECKPOINT_TIMEOUT, MAX_FAILED_WORKERS, PREPARE_TIMEOUT};
 
 /// A job that failed this often is refused even when too few workers are left to tell whether
 /// the workers or the job are at fault.
@@ -38,7 +38,7 @@
         }
         let epoch = attempt.epoch;
         attempt.phase = AttemptPhase::Checkpointing(reason.clone());
-        self.set_deadline(job, Some(at + CHECKPOINT_LIMIT));
+        self.set_deadline(job, Some(at + CHECKPOINT_TIMEOUT));
         vec![LeaseEvent::AttemptStopping(job.clone(), epoch, reason)]
     }
 
@@ -156,7 +156,7 @@
         let complete = attempt.tasks.iter().all(|slot| slot.state != TaskState::Booked);
         if complete && attempt.phase == AttemptPhase::Reclaiming {
             attempt.phase = AttemptPhase::Preparing;
-            self.set_deadline(&key.job, Some(at + PREPARE_LIMIT));
+            self.set_deadline(&key.job, Some(at + PREPARE_TIMEOUT));
         }
         self.cluster.update(worker, |cell| {
             cell.booked = minus(&cell.booked, &task);
--- a/crates/yuccatack_leases/src/claim.rs
+++ b/crates/yuccatack_leases/src/claim.rs
@@ -5,13 +5,13 @@
 
 use crate::job::JobEntry;
 use crate::message::Claim;
-use crate::schedule::Pass;
+use crate::scheduling_pass::SchedulingPass;
 use crate::table::GuaranteeEntry;
 
 /// The longest wait for a borrower's checkpoint.
 const RECLAIM_DELAY_S: f64 = 3.0;
 
-impl<'a> Pass<'a> {
+impl<'a> SchedulingPass<'a> {
     /// Unclaimed shapes that the job may claim, the smallest guarantee first.
     fn claimable(&self, job: &JobEntry) -> Vec<(&'a GuaranteeEntry, u32)> {
         let Some(entries) = self.guarantees.get(&job.spec.organisation) else { return Vec::new() };
--- a/crates/yuccatack_leases/src/defragment.rs
+++ b/crates/yuccatack_leases/src/defragment.rs
@@ -6,8 +6,8 @@
 use crate::job::{AttemptPhase, JobEntry};
 use crate::message::LeaseCommand;
 use crate::reservation::StarvedJob;
-use crate::schedule::Pass;
-use crate::volatile::Volatile;
+use crate::scheduler::Scheduler;
+use crate::scheduling_pass::SchedulingPass;
 
 /// What a move costs for each accelerator: checkpoint, stop, prepare and start.
 const MOVE_COST_S: u64 = 10;
@@ -41,7 +41,7 @@
     movable: Vec<(&'a JobName, &'a JobEntry)>,
 }
 
-impl<'a> Pass<'a> {
+impl<'a> SchedulingPass<'a> {
     /// Whether the job runs on one worker and can be moved off it at little cost.
     fn is_movable(&self, job: &JobEntry) -> bool {
         let Some(attempt) = job.attempt() else { return false };
@@ -86,22 +86,22 @@
     }
 
     /// Whether the pause since the last search is over.
-    pub(crate) fn may_search_room(&self, volatile: &Volatile) -> bool {
-        volatile.defragmented_at + MOVE_PAUSE <= self.now
+    pub(crate) fn may_search_room(&self, scheduler: &Scheduler) -> bool {
+        scheduler.defragmented_at + MOVE_PAUSE <= self.now
     }
 
     /// Moves jobs out of one domain so that `name` fits there. Returns whether it pays. For a
     /// starved job, later ones give way even when they have to wait themselves.
     pub(crate) fn make_room(
         &mut self,
-        volatile: &mut Volatile,
+        scheduler: &mut Scheduler,
         name: &'a JobName,
         starved: bool,
         held: Option<&StarvedJob>,
     ) -> bool {
         let table = self.table;
         let Some(job) = table.jobs.get(name) else { return false };
-        volatile.defragmented_at = self.now;
+        scheduler.defragmented_at = self.now;
         let wait_s = held.map_or(60, |held| held.reservation.start_at.since(self.now).get() / 1000);
         let Some(plan) = self.cheapest_plan(job, starved) else { return false };
         if plan.moved_count * MOVE_COST_S >= job.spec.accelerator_count() * wait_s {
@@ -112,7 +112,7 @@
         }
         let reservation =
             Reservation { workers: plan.workers, start_at: self.now, exclusive: true };
-        volatile.starved = Some(StarvedJob::with_reservation(name, reservation));
+        scheduler.starved = Some(StarvedJob::with_reservation(name, reservation));
         true
     }
 
@@ -194,14 +194,14 @@
 
     /// Moves the jobs whose move makes the most free accelerators usable, so that gangs find room
     /// when they arrive.
-    pub(crate) fn consolidate(&mut self, volatile: &mut Volatile) {
-        if volatile.defragmented_at + CONSOLIDATION_INTERVAL > self.now {
+    pub(crate) fn consolidate(&mut self, scheduler: &mut Scheduler) {
+        if scheduler.defragmented_at + CONSOLIDATION_INTERVAL > self.now {
             return;
         }
-        volatile.defragmented_at = self.now;
+        scheduler.defragmented_at = self.now;
         let length = self.table.active.len().max(1);
-        let start = volatile.consolidation_cursor % length;
-        volatile.consolidation_cursor = start + MAX_CONSOLIDATED;
+        let start = scheduler.consolidation_cursor % length;
+        scheduler.consolidation_cursor = start + MAX_CONSOLIDATED;
         let active = || self.table.active.iter();
         let window = active().skip(start).chain(active().take(start)).take(MAX_CONSOLIDATED);
         let mut gains: Vec<(f64, &'a JobName)> =
--- a/crates/yuccatack_leases/src/explain.rs
+++ b/crates/yuccatack_leases/src/explain.rs
@@ -93,7 +93,7 @@
                  are set aside for guarantees"
             ),
         };
-        Explanation { job: job.clone(), status, not_run: entry.is_not_run(), wait, text }
+        Explanation { job: job.clone(), status, not_run: entry.has_never_run(), wait, text }
     }
 
     fn wait_reason(&self, entry: &JobEntry) -> WaitReason {
--- a/crates/yuccatack_leases/src/job.rs
+++ b/crates/yuccatack_leases/src/job.rs
@@ -159,7 +159,7 @@
     }
 
     /// Whether no part of the job has run.
-    pub fn is_not_run(&self) -> bool {
+    pub fn has_never_run(&self) -> bool {
         self.started_count == 0 && !self.ran_unasked
     }
 
--- a/crates/yuccatack_leases/src/probe.rs
+++ b/crates/yuccatack_leases/src/probe.rs
@@ -4,13 +4,13 @@
 use yuccatack_placement::{Assignment, WorkerIndex};
 
 use crate::message::LeaseCommand;
-use crate::schedule::{MAX_SCANNED, Pass};
+use crate::scheduling_pass::{MAX_SCANNED, SchedulingPass};
 use crate::worker::WorkerHealth;
 
 /// A quarantined worker that no waiting job can probe serves again after this time.
 const PROBATION_AFTER: DurationMs = DurationMs::from_seconds(60);
 
-impl<'a> Pass<'a> {
+impl<'a> SchedulingPass<'a> {
     /// Gives each quarantined worker whose wait is over one small job that may be repeated.
     pub(crate) fn probe_quarantined(&mut self) {
         let table = self.table;
--- a/crates/yuccatack_leases/src/volatile.rs
+++ b/crates/yuccatack_leases/src/scheduler.rs
@@ -11,10 +11,10 @@
 use crate::job::{AttemptPhase, TaskState};
 use crate::message::{LeaseCommand, StopReason, TaskOutcome};
 use crate::reservation::StarvedJob;
-use crate::schedule::Strategy;
+use crate::scheduling_pass::Strategy;
 use crate::table::LeaseTable;
 use crate::worker::{TaskKey, WorkerEntry, WorkerHealth};
-use crate::{CLOCK_MARGIN, LEASE};
+use crate::{CLOCK_MARGIN, LEASE_DURATION};
 
 #[derive(Clone, Debug)]
 struct WorkerMemory {
@@ -28,9 +28,9 @@
     reported: FastHashMap<TaskReference, ReportedState>,
 }
 
-/// What the leader knows and does not replicate. A new leader starts with [`Volatile::new`].
+/// What the leader knows and does not replicate. A new leader starts with [`Scheduler::new`].
 #[derive(Clone, Debug)]
-pub struct Volatile {
+pub struct Scheduler {
     started_at: TimestampMs,
     workers: FastHashMap<WorkerName, WorkerMemory>,
     lease_ends: BTreeSet<(TimestampMs, WorkerName)>,
@@ -45,7 +45,7 @@
     pub(crate) demand: Vec<(Shape, f64)>,
 }
 
-impl Volatile {
+impl Scheduler {
     /// The memory of a leader that starts at `now`. Until one lease and margin later it treats no
     /// silent worker as lost, because its predecessor may have granted a lease just before.
     ///
@@ -115,7 +115,7 @@
             return (silent, vec![loss]);
         }
         let reported = report.tasks.iter().map(|task| (task.task.clone(), task.state)).collect();
-        let lease_end = now + LEASE;
+        let lease_end = now + LEASE_DURATION;
         let memory = WorkerMemory {
             incarnation: registration.incarnation,
             registration_number,
@@ -129,7 +129,7 @@
         }
         self.lease_ends.insert((lease_end, name.clone()));
         let proposals = self.follow_report(table, &report, now);
-        let mut reply = HeartbeatReply { lease: Some(LEASE), ..silent };
+        let mut reply = HeartbeatReply { lease: Some(LEASE_DURATION), ..silent };
         reply.commands = self.commands_for(table, &name);
         reply.acknowledged = acknowledged(table, &report);
         (reply, proposals)
@@ -272,7 +272,7 @@
         now: TimestampMs,
     ) -> Vec<LeaseCommand> {
         let mut lost = Vec::new();
-        let grace_end = self.started_at + LEASE + CLOCK_MARGIN;
+        let grace_end = self.started_at + LEASE_DURATION + CLOCK_MARGIN;
         if now < grace_end {
             return lost;
         }
@@ -285,7 +285,7 @@
                         incarnation: entry.incarnation,
                         registration_number: entry.registration_number,
                         sequence: 0,
-                        lease_end: self.started_at + LEASE,
+                        lease_end: self.started_at + LEASE_DURATION,
                         condemned: false,
                         reported: FastHashMap::default(),
                     };
@@ -309,10 +309,10 @@
         lost
     }
 
-    /// When [`Volatile::schedule`] must run next even if nothing happens before.
+    /// When [`Scheduler::schedule`] must run next even if nothing happens before.
     pub fn next_deadline(&self, table: &LeaseTable, now: TimestampMs) -> TimestampMs {
-        let grace_end = self.started_at + LEASE + CLOCK_MARGIN;
-        let mut next = now + LEASE;
+        let grace_end = self.started_at + LEASE_DURATION + CLOCK_MARGIN;
+        let mut next = now + LEASE_DURATION;
         if !self.grace_over {
             next = next.min(grace_end);
         }
--- a/crates/yuccatack_leases/src/schedule.rs
+++ b/crates/yuccatack_leases/src/scheduling_pass.rs
@@ -10,8 +10,8 @@
 use crate::job::{AttemptPhase, JobEntry};
 use crate::message::{BeginAttempt, Claim, LeaseCommand, StopReason, WorkerTasks};
 use crate::reservation::{BACKFILL_QUANTILE, DEFRAGMENT_AFTER, STARVED_AFTER, StarvedJob};
+use crate::scheduler::Scheduler;
 use crate::table::{GuaranteeEntry, LeaseTable};
-use crate::volatile::Volatile;
 
 /// Decisions of one call. They are in force only after the log has them; a bound keeps the
 /// overlay small and lets urgent jobs that arrive meanwhile go first in the next call.
@@ -39,7 +39,7 @@
     BestFit,
 }
 
-impl Volatile {
+impl Scheduler {
     /// Chooses how waiting jobs are placed; the baselines are for comparison only.
     pub fn with_strategy(mut self, strategy: Strategy) -> Self {
         self.strategy = strategy;
@@ -47,12 +47,12 @@
     }
 
     /// What the leader decides at `now`. Call it again once the commands are applied, after each
-    /// change of the table, and at [`Volatile::next_deadline`].
+    /// change of the table, and at [`Scheduler::next_deadline`].
     pub fn schedule(&mut self, table: &LeaseTable, now: TimestampMs) -> Vec<LeaseCommand> {
         let mut commands = self.lose_silent(table, now);
         commands.extend(overdue(table, now));
         commands.extend(self.starts(table, now));
-        let mut pass = Pass::new(table, now, &self.demand);
+        let mut pass = SchedulingPass::new(table, now, &self.demand);
         pass.run(self);
         for command in &pass.commands {
             if let LeaseCommand::BeginAttempt(begin) = command
@@ -118,7 +118,7 @@
 }
 
 /// One round of placements over an overlay of its own decisions.
-pub(crate) struct Pass<'a> {
+pub(crate) struct SchedulingPass<'a> {
     pub(crate) table: &'a LeaseTable,
     pub(crate) now: TimestampMs,
     pub(crate) overlay: Overlay<'a>,
@@ -141,7 +141,7 @@
     next: usize,
 }
 
-impl<'a> Pass<'a> {
+impl<'a> SchedulingPass<'a> {
     fn new(table: &'a LeaseTable, now: TimestampMs, demand: &[(Shape, f64)]) -> Self {
         let mut guarantees: FastHashMap<_, Vec<&GuaranteeEntry>> = FastHashMap::default();
         for entry in table.guarantees.values() {
@@ -163,9 +163,9 @@
         }
     }
 
-    fn run(&mut self, volatile: &mut Volatile) {
+    fn run(&mut self, scheduler: &mut Scheduler) {
         self.probe_quarantined();
-        let find = match volatile.strategy {
+        let find = match scheduler.strategy {
             Strategy::Policy => None,
             Strategy::FirstFit => Some(first_fit as FindPlace),
             Strategy::BestFit => Some(best_fit as FindPlace),
@@ -175,15 +175,15 @@
             return;
         }
         if self.table.waiting.is_empty() {
-            volatile.starved = None;
+            scheduler.starved = None;
         } else {
             self.place_class(PriorityClass::Urgent);
-            self.place_starved(volatile);
+            self.place_starved(scheduler);
             self.place_class(PriorityClass::Standard);
             self.place_class(PriorityClass::Batch);
         }
-        if volatile.starved.is_none() && self.commands.is_empty() {
-            self.consolidate(volatile);
+        if scheduler.starved.is_none() && self.commands.is_empty() {
+            self.consolidate(scheduler);
         }
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// The oldest waiting job of each queue is its head, so only heads can be the oldest.
-    fn place_starved(&mut self, volatile: &mut Volatile) {
+    fn place_starved(&mut self, scheduler: &mut Scheduler) {
         let table = self.table;
         let classes = [PriorityClass::Standard, PriorityClass::Batch];
         let oldest = table
@@ -294,24 +294,24 @@
             .filter(|(_, job)| table.jobs.get(job).is_some_and(|job| self.within_quota(job)))
             .min();
         let Some((at, job)) = oldest else {
-            volatile.starved = None;
+            scheduler.starved = None;
             return;
         };
         if self.try_place(job) {
-            volatile.starved = None;
+            scheduler.starved = None;
             return;
         }
         let starved = self.now.since(*at) >= STARVED_AFTER;
-        if self.may_search_room(volatile) {
+        if self.may_search_room(scheduler) {
             // Both searches visit many tasks, so they run at most once in a pause.
             let held = StarvedJob::new(table, job, self.now);
-            if !self.make_room(volatile, job, starved, held.as_ref()) {
-                volatile.starved = held.filter(|_| starved);
+            if !self.make_room(scheduler, job, starved, held.as_ref()) {
+                scheduler.starved = held.filter(|_| starved);
             }
-        } else if volatile.starved.as_ref().is_some_and(|held| held.job != *job) {
-            volatile.starved = None;
+        } else if scheduler.starved.as_ref().is_some_and(|held| held.job != *job) {
+            scheduler.starved = None;
         }
-        self.reservation = volatile.starved.as_ref().map(|held| held.reservation.clone());
+        self.reservation = scheduler.starved.as_ref().map(|held| held.reservation.clone());
         // The failure above was found without the reservation; keys include its effect.
         self.failed.clear();
     }
--- a/crates/yuccatack_leases/tests/lease_safety.rs
+++ b/crates/yuccatack_leases/tests/lease_safety.rs
@@ -30,7 +30,7 @@
 #[test]
 fn margin_passes_first() {
     let table = registered();
-    let mut leader = Volatile::new(at(0));
+    let mut leader = Scheduler::new(at(0));
     leader.heartbeat(&table, report(1), at(10_000));
     assert_eq!(losses(&leader.schedule(&table, at(16_499))), 0);
     assert_eq!(losses(&leader.schedule(&table, at(16_500))), 1);
@@ -40,7 +40,7 @@
 #[test]
 fn new_leader_waits() {
     let table = registered();
-    let mut leader = Volatile::new(at(10_000));
+    let mut leader = Scheduler::new(at(10_000));
     assert_eq!(losses(&leader.schedule(&table, at(16_499))), 0);
     assert_eq!(losses(&leader.schedule(&table, at(16_500))), 1);
 }
@@ -49,7 +49,7 @@
 #[test]
 fn condemned_gets_no_lease() {
     let mut table = registered();
-    let mut leader = Volatile::new(at(0));
+    let mut leader = Scheduler::new(at(0));
     leader.heartbeat(&table, report(1), at(10_000));
     let loss = leader.schedule(&table, at(17_000));
     let (reply, _) = leader.heartbeat(&table, report(2), at(17_010));
@@ -63,7 +63,7 @@
         table.apply(command);
     }
     let (reply, _) = leader.heartbeat(&table, report(4), at(17_030));
-    assert_eq!(reply.lease, Some(LEASE));
+    assert_eq!(reply.lease, Some(LEASE_DURATION));
 }
 
 /// Guards against a loss that the log delivers twice and that ends the tasks of a live worker.
@@ -83,7 +83,7 @@
 #[test]
 fn incarnation_waits() {
     let mut table = registered();
-    let mut leader = Volatile::new(at(0));
+    let mut leader = Scheduler::new(at(0));
     leader.heartbeat(&table, report(1), at(1_000));
     let mut other = report(1);
     other.registration.incarnation = Incarnation::new(77);
@@ -97,7 +97,7 @@
 #[test]
 fn old_report_is_void() {
     let table = registered();
-    let mut leader = Volatile::new(at(0));
+    let mut leader = Scheduler::new(at(0));
     leader.heartbeat(&table, report(5), at(1_000));
     let (reply, commands) = leader.heartbeat(&table, report(4), at(1_100));
     assert_eq!((reply.lease, commands.len()), (None, 0));
--- a/crates/yuccatack_leases/tests/support/mod.rs
+++ b/crates/yuccatack_leases/tests/support/mod.rs
@@ -45,7 +45,7 @@
 pub struct Platform {
     pub now: u64,
     pub table: LeaseTable,
-    pub leader: Option<Volatile>,
+    pub leader: Option<Scheduler>,
     pub leader_from: u64,
     /// When a leader was lost and when its successor started at the earliest.
     pub leader_changes: Vec<(u64, u64)>,
@@ -64,7 +64,7 @@
         let mut platform = Self {
             now: 1_000,
             table: LeaseTable::new(),
-            leader: Some(Volatile::new(TimestampMs::new(1_000))),
+            leader: Some(Scheduler::new(TimestampMs::new(1_000))),
             leader_from: 1_000,
             leader_changes: Vec::new(),
             workers: Vec::new(),
@@ -159,7 +159,7 @@
         self.now += TICK_MS;
         self.apply_log();
         if self.leader.is_none() && self.now >= self.leader_from && self.log.is_empty() {
-            self.leader = Some(Volatile::new(self.time()));
+            self.leader = Some(Scheduler::new(self.time()));
         }
         for position in 0..self.workers.len() {
             self.step_worker(position);
--- a/crates/yuccatack_stand_ins/tests/worker_stand_in.rs
+++ b/crates/yuccatack_stand_ins/tests/worker_stand_in.rs
@@ -52,7 +52,7 @@
 ) {
     let origin = Instant::now();
     let mut table = LeaseTable::new();
-    let mut leader = Volatile::new(TimestampMs::new(0));
+    let mut leader = Scheduler::new(TimestampMs::new(0));
     let mut jobs = Some(jobs);
     while let Some((report, reply)) = inbox.recv().await {
         let at = TimestampMs::new(origin.elapsed().as_millis() as u64);
@@ -153,7 +153,12 @@
 
 fn send(model: &mut WorkerModel, now: u64, commands: Vec<WorkerCommand>) {
     let sequence = model.heartbeat().sequence;
-    let reply = HeartbeatReply { sequence, lease: Some(LEASE), commands, acknowledged: Vec::new() };
+    let reply = HeartbeatReply {
+        sequence,
+        lease: Some(LEASE_DURATION),
+        commands,
+        acknowledged: Vec::new(),
+    };
     model.follow(&reply, TimestampMs::new(now), TimestampMs::new(now));
 }
 
