--- a/crates/yuccatack_dispatch/src/capacity.rs
+++ b/crates/yuccatack_dispatch/src/capacity.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use yuccatack_core::{NodeName, Resources, ServiceName, TimestampMs};
-use yuccatack_runs::{JobTable, RunId, StepSpec, WorkerLife};
+use yuccatack_runs::{JobTable, RunId, StepSpec, WorkerIncarnation};
 
 use crate::session::{OrderState, Session};
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub node: NodeName,
-    pub life: WorkerLife,
+    pub incarnation: WorkerIncarnation,
     pub service: ServiceName,
     pub rack: Option<Arc<str>>,
     pub labels: Vec<Arc<str>>,
@@ -33,7 +33,7 @@
 
 /// What one task of a step takes from a worker.
 pub(crate) fn footprint(step: &StepSpec) -> Resources {
-    let cores_milli = if step.fills { 0 } else { step.demand.cores_milli };
+    let cores_milli = if step.uses_idle_cpu { 0 } else { step.demand.cores_milli };
     Resources { cores_milli, ..step.demand }
 }
 
@@ -50,7 +50,7 @@
             let state = session.state.as_ref()?;
             Some(Slot {
                 node: node.clone(),
-                life: state.life.clone(),
+                incarnation: state.incarnation.clone(),
                 service: state.service.clone(),
                 rack: state.rack.clone(),
                 labels: state.labels.clone(),
@@ -65,7 +65,9 @@
         })
         .collect();
     for (run, open) in table.open_runs() {
-        let Some(slot) = slots.iter_mut().find(|slot| slot.life == open.life) else { continue };
+        let Some(slot) = slots.iter_mut().find(|slot| slot.incarnation == open.incarnation) else {
+            continue;
+        };
         let step = table.job(&run.task.job).and_then(|job| job.step_spec(run.task.step));
         let used = step.map_or(open.demand, footprint);
         slot.free = subtract(slot.free, used);
--- a/crates/yuccatack_dispatch/src/dispatcher.rs
+++ b/crates/yuccatack_dispatch/src/dispatcher.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use yuccatack_core::{FastHashSet, NodeName, TimestampMs};
 use yuccatack_queues::ConfigurationStore;
-use yuccatack_runs::{JobTable, RunEnd, RunId, RunOutcome, RunStart, WorkerLife};
+use yuccatack_runs::{JobTable, RunEnd, RunId, RunOutcome, RunStart, WorkerIncarnation};
 
 use crate::capacity::slots;
 use crate::demand::{ready_units, urgent_accelerators};
@@ -30,8 +30,9 @@
     Begin(Vec<RunStart>),
     /// A run is over.
     End(RunEnd),
-    /// The ends of a worker's life up to this number are in the table.
-    NoteEnds(WorkerLife, u64),
+    /// The ends of a worker's incarnation up to this number are in the table.
+    #[serde(rename = "NoteEnds")]
+    AcknowledgeEnds(WorkerIncarnation, u64),
 }
 
 /// Decides for all workers while its process leads.
@@ -92,7 +93,7 @@
     /// The lead was confirmed by a round that began at `began_at`; leases may build on everything
     /// that was received before. A later leader was elected after that moment, so it can bound
     /// every lease that this one granted.
-    pub fn confirm_lead(&mut self, began_at: TimestampMs) {
+    pub fn confirm_leadership(&mut self, began_at: TimestampMs) {
         for session in self.sessions.values_mut() {
             if session.reading.is_some_and(|reading| reading.received_at <= began_at) {
                 session.base = session.reading;
@@ -117,17 +118,17 @@
                 self.on_start_result(node, run, result);
                 Vec::new()
             }
-            AgentMessage::Left(life) => {
+            AgentMessage::Left(incarnation) => {
                 log::info!(
-                    event = "worker_left", node = node.as_str(), life:% = life;
+                    event = "worker_left", node = node.as_str(), life:% = incarnation;
                     "the worker has left"
                 );
                 if let Some(session) = self.sessions.get_mut(node)
-                    && session.life() == Some(&life)
+                    && session.incarnation() == Some(&incarnation)
                 {
                     session.state = None;
                 }
-                lost_runs(table, |held| *held == life)
+                lost_runs(table, |held| *held == incarnation)
             }
         }
     }
@@ -139,18 +140,18 @@
         table: &JobTable,
     ) -> Vec<TableChange> {
         let session = self.sessions.entry(node.clone()).or_default();
-        let life = state.life.clone();
-        if session.life() == Some(&life) {
+        let incarnation = state.incarnation.clone();
+        if session.incarnation() == Some(&incarnation) {
             session.state = Some(state);
             return Vec::new();
         }
         log::info!(
-            event = "worker_life_began", node = node.as_str(), life:% = life,
+            event = "worker_life_began", node = node.as_str(), life:% = incarnation,
             draining = state.draining;
             "a worker announced itself"
         );
         session.begin_life(state);
-        lost_runs(table, |held| held.node == life.node && *held != life)
+        lost_runs(table, |held| held.node == incarnation.node && *held != incarnation)
     }
 
     fn on_start_result(&mut self, node: &NodeName, run: RunId, result: StartResult) {
@@ -222,17 +223,17 @@
         changes
     }
 
-    /// Runs whose lease must have expired, or whose worker began another life.
+    /// Runs whose lease must have expired, or whose worker began another incarnation.
     fn expired_runs(&self, table: &JobTable, now: TimestampMs) -> Vec<TableChange> {
         let earlier_leases_end = self.leading_since + longest_real_time(self.settings.lease_ms);
-        lost_runs(table, |life| {
-            let Some(session) = self.sessions.get(&life.node) else {
+        lost_runs(table, |incarnation| {
+            let Some(session) = self.sessions.get(&incarnation.node) else {
                 return now > earlier_leases_end;
             };
-            match (session.life(), session.reading) {
-                (Some(current), _) if current != life => true,
+            match (session.incarnation(), session.reading) {
+                (Some(current), _) if current != incarnation => true,
                 (Some(_), Some(reading)) => {
-                    let own_leases_end = reading.surely_past(session.lease_until_clock_ms);
+                    let own_leases_end = reading.latest_expiry(session.lease_until_clock_ms);
                     now > own_leases_end.max(earlier_leases_end)
                 }
                 _ => now > earlier_leases_end,
@@ -255,9 +256,9 @@
 
 fn lost_runs<Lost>(table: &JobTable, lost: Lost) -> Vec<TableChange>
 where
-    Lost: Fn(&WorkerLife) -> bool,
+    Lost: Fn(&WorkerIncarnation) -> bool,
 {
-    let runs = table.open_runs().iter().filter(|(_, open)| lost(&open.life));
+    let runs = table.open_runs().iter().filter(|(_, open)| lost(&open.incarnation));
     let end = |run: &RunId| RunEnd {
         run: run.clone(),
         outcome: RunOutcome::WorkerLost,
--- a/crates/yuccatack_dispatch/src/lease.rs
+++ b/crates/yuccatack_dispatch/src/lease.rs
@@ -17,7 +17,7 @@
     /// When the worker's clock has passed `until_clock_ms` for sure.
     ///
     /// The worker's clock was read before the answer arrived, so it can only be further by now.
-    pub fn surely_past(&self, until_clock_ms: u64) -> TimestampMs {
+    pub fn latest_expiry(&self, until_clock_ms: u64) -> TimestampMs {
         let left_ms = until_clock_ms.saturating_sub(self.clock_ms);
         self.received_at + longest_real_time(DurationMs::new(left_ms))
     }
--- a/crates/yuccatack_dispatch/src/observation.rs
+++ b/crates/yuccatack_dispatch/src/observation.rs
@@ -21,7 +21,7 @@
         now: TimestampMs,
     ) -> Vec<TableChange> {
         let Some(session) = self.sessions.get_mut(node) else { return Vec::new() };
-        if session.life() != Some(&observation.life) {
+        if session.incarnation() != Some(&observation.incarnation) {
             return Vec::new();
         }
         if session.reading.is_some_and(|reading| reading.clock_ms > observation.clock_ms) {
@@ -59,7 +59,7 @@
     /// on a fast worker stands still at the end of its work until the slowest one arrives there.
     fn waits_for_members(&self, run: &RunId, table: &JobTable) -> bool {
         let percent = |member: &RunId| {
-            let node = &table.open_runs().get(member)?.life.node;
+            let node = &table.open_runs().get(member)?.incarnation.node;
             self.sessions.get(node)?.health.percent(member)
         };
         let Some(own_percent) = percent(run) else { return false };
@@ -77,7 +77,7 @@
     now: TimestampMs,
 ) -> Vec<TableChange> {
     let mut changes = Vec::new();
-    let known = session.proposed_end.max(table.noted_end(&observation.life));
+    let known = session.proposed_end.max(table.acknowledged_end(&observation.incarnation));
     let mut last = known;
     for ended in observation.ended.iter().filter(|ended| ended.number > known) {
         last = last.max(ended.number);
@@ -92,7 +92,7 @@
     }
     if last > known {
         session.proposed_end = last;
-        changes.push(TableChange::NoteEnds(observation.life.clone(), last));
+        changes.push(TableChange::AcknowledgeEnds(observation.incarnation.clone(), last));
     }
     changes
 }
@@ -104,7 +104,7 @@
     table: &JobTable,
 ) -> Vec<TableChange> {
     let mut changes = Vec::new();
-    for run in table.runs_of(&observation.life) {
+    for run in table.runs_on(&observation.incarnation) {
         let ended = observation.ended.iter().any(|ended| ended.run == *run);
         let running = observation.running.iter().any(|row| row.run == *run);
         let order = session.orders.get(run).copied();
--- a/crates/yuccatack_dispatch/src/placement.rs
+++ b/crates/yuccatack_dispatch/src/placement.rs
@@ -151,7 +151,7 @@
         };
         let run = RunId { task, number: unit.run_number };
         slot.runs.push(run.clone());
-        starts.push(RunStart { run, life: slot.life.clone() });
+        starts.push(RunStart { run, incarnation: slot.incarnation.clone() });
     }
     starts
 }
--- a/crates/yuccatack_dispatch/src/protocol.rs
+++ b/crates/yuccatack_dispatch/src/protocol.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::{DataCentreName, DurationMs, Resources, ServiceName};
-use yuccatack_runs::{RunId, RunOutcome, WorkerLife};
+use yuccatack_runs::{RunId, RunOutcome, WorkerIncarnation};
 
 /// What an agent reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -16,14 +16,15 @@
     /// What became of a start.
     Start(RunId, StartResult),
     /// The worker has left; everything that ran on it is over.
-    Left(WorkerLife),
+    Left(WorkerIncarnation),
 }
 
 /// A worker as it announces itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerState {
-    /// Which life of the worker speaks.
-    pub life: WorkerLife,
+    /// Which incarnation of the worker speaks.
+    #[serde(rename = "life")]
+    pub incarnation: WorkerIncarnation,
     /// The pool that the worker belongs to.
     pub service: ServiceName,
     /// Where it is.
@@ -43,8 +44,9 @@
 /// What a worker ran at one moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Which life of the worker answered.
-    pub life: WorkerLife,
+    /// Which incarnation of the worker answered.
+    #[serde(rename = "life")]
+    pub incarnation: WorkerIncarnation,
     /// The worker's steady clock.
     pub clock_ms: u64,
     /// What runs.
@@ -72,7 +74,7 @@
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndedRun {
-    /// Numbers the ends of the worker's life from 1.
+    /// Numbers the ends of the worker's incarnation from 1.
     pub number: u64,
     /// The run.
     pub run: RunId,
@@ -100,10 +102,12 @@
 pub struct Orders {
     /// The leader's fencing token; orders of a lower one are void.
     pub token: u64,
-    /// The life that the orders are for; any other must not get them.
-    pub life: WorkerLife,
+    /// The incarnation that the orders are for; any other must not get them.
+    #[serde(rename = "life")]
+    pub incarnation: WorkerIncarnation,
     /// Ends up to this number are stored and may be forgotten.
-    pub noted_end: u64,
+    #[serde(rename = "noted_end")]
+    pub acknowledged_end: u64,
     /// A renewed lease: when everything on the worker stops unless it is renewed again, by the
     /// worker's clock.
     pub lease_until_clock_ms: Option<u64>,
--- a/crates/yuccatack_dispatch/src/reconcile.rs
+++ b/crates/yuccatack_dispatch/src/reconcile.rs
@@ -39,13 +39,13 @@
 
     fn orders_of(&self, session: &mut Session, broken: &FastHashSet<GangRun>) -> Option<Orders> {
         let state = session.state.as_ref()?;
-        let (life, draining) = (state.life.clone(), state.draining);
+        let (incarnation, draining) = (state.incarnation.clone(), state.draining);
         let lease_until_clock_ms = self.grant(session);
-        let noted_end = self.table.noted_end(&life);
-        let news_of_ends = noted_end > session.told_noted_end;
+        let acknowledged_end = self.table.acknowledged_end(&incarnation);
+        let news_of_ends = acknowledged_end > session.told_noted_end;
         let mut starts = Vec::new();
         let mut stops = Vec::new();
-        for run in self.table.runs_of(&life) {
+        for run in self.table.runs_on(&incarnation) {
             let wanted = self.is_wanted(run, broken);
             match session.orders.get(run).copied() {
                 None if wanted && !draining => {
@@ -76,8 +76,15 @@
         if !renewed && !news_of_ends && starts.is_empty() && stops.is_empty() {
             return None;
         }
-        session.told_noted_end = noted_end;
-        Some(Orders { token: self.token, life, noted_end, lease_until_clock_ms, starts, stops })
+        session.told_noted_end = acknowledged_end;
+        Some(Orders {
+            token: self.token,
+            incarnation,
+            acknowledged_end,
+            lease_until_clock_ms,
+            starts,
+            stops,
+        })
     }
 
     fn stop_resend_interval(&self) -> DurationMs {
@@ -128,7 +135,8 @@
             let key = gang_run(run);
             let count = members.entry(key.clone()).or_default();
             *count += 1;
-            let order = sessions.get(&open.life.node).and_then(|session| session.orders.get(run));
+            let order =
+                sessions.get(&open.incarnation.node).and_then(|session| session.orders.get(run));
             let stopping = matches!(order, Some(OrderState::Stopping { .. }));
             if stopping || self.evicted.contains(run) {
                 broken.insert(key);
--- a/crates/yuccatack_dispatch/src/session.rs
+++ b/crates/yuccatack_dispatch/src/session.rs
@@ -1,7 +1,7 @@
 //! What the leader knows of one worker.
 
 use yuccatack_core::{FastHashMap, TimestampMs};
-use yuccatack_runs::{RunId, WorkerLife};
+use yuccatack_runs::{RunId, WorkerIncarnation};
 
 use crate::health::Health;
 use crate::lease::ClockReading;
@@ -32,7 +32,7 @@
     pub reading: Option<ClockReading>,
     /// The newest reading that was received before the lead was last confirmed.
     pub base: Option<ClockReading>,
-    /// The latest end of any lease granted to this life.
+    /// The latest end of any lease granted to this incarnation.
     pub lease_until_clock_ms: u64,
     /// The reading that the last grant was made from, so that each reading is used once.
     pub granted_from: Option<ClockReading>,
@@ -47,9 +47,9 @@
 }
 
 impl Session {
-    /// The life that is known to be the present one.
-    pub fn life(&self) -> Option<&WorkerLife> {
-        self.state.as_ref().map(|state| &state.life)
+    /// The incarnation that is known to be the present one.
+    pub fn incarnation(&self) -> Option<&WorkerIncarnation> {
+        self.state.as_ref().map(|state| &state.incarnation)
     }
 
     /// Whether the worker may get new runs.
@@ -61,7 +61,7 @@
             && self.health.is_usable(now)
     }
 
-    /// Forgets everything that ended with the earlier life.
+    /// Forgets everything that ended with the earlier incarnation.
     pub fn begin_life(&mut self, state: WorkerState) {
         *self = Self { connected: self.connected, state: Some(state), ..Self::default() };
     }
--- a/crates/yuccatack_dispatch/tests/lease_bounds.rs
+++ b/crates/yuccatack_dispatch/tests/lease_bounds.rs
@@ -5,7 +5,7 @@
 
 mod support;
 
-use support::{LONGEST_LEASE, World, life, run, starts, step};
+use support::{LONGEST_LEASE, World, incarnation, run, starts, step};
 use yuccatack_core::TimestampMs;
 use yuccatack_dispatch::{ClockReading, Dispatcher};
 
@@ -15,7 +15,7 @@
 #[test]
 fn slow_clock_waited_for() {
     let reading = ClockReading { clock_ms: 50_000, received_at: TimestampMs::new(1_000) };
-    let past = reading.surely_past(59_800);
+    let past = reading.latest_expiry(59_800);
     // A clock that is 2% slow needs ten seconds for 9.8, and timers add a margin.
     assert!(past >= TimestampMs::new(11_300), "{past:?}");
     assert!(past < TimestampMs::new(12_000), "{past:?}");
@@ -32,9 +32,9 @@
     let began_at = world.now;
     world.advance(300);
     world.observe_unconfirmed(0, &[], &[], &[]);
-    world.dispatcher.confirm_lead(began_at);
+    world.dispatcher.confirm_leadership(began_at);
     assert!(world.decide().is_empty(), "a lease was granted from an unconfirmed reading");
-    world.dispatcher.confirm_lead(world.now);
+    world.dispatcher.confirm_leadership(world.now);
     assert_eq!(world.decide()[0].1.lease_until_clock_ms.unwrap(), world.clock_ms() + LEASE_MS);
 }
 
@@ -95,16 +95,16 @@
     world.begun(&run("a", 0, 1));
     let next = support::state(0, 2);
     world.tell(0, yuccatack_dispatch::AgentMessage::State(next));
-    assert!(world.table.open_runs().is_empty(), "a run outlived its worker's life");
-    // An observation of the earlier life arrives late.
+    assert!(world.table.open_runs().is_empty(), "a run outlived its worker's incarnation");
+    // An observation of the earlier incarnation arrives late.
     let observed = yuccatack_dispatch::Observation {
-        life: life(0, 1),
+        incarnation: incarnation(0, 1),
         clock_ms: world.clock_ms(),
         running: Vec::new(),
         ended: Vec::new(),
         stopped: Vec::new(),
     };
     world.tell(0, yuccatack_dispatch::AgentMessage::Observed(observed));
-    world.dispatcher.confirm_lead(world.now);
-    assert!(world.decide().is_empty(), "an earlier life's clock made a lease");
+    world.dispatcher.confirm_leadership(world.now);
+    assert!(world.decide().is_empty(), "an earlier incarnation's clock made a lease");
 }
--- a/crates/yuccatack_dispatch/tests/support/mod.rs
+++ b/crates/yuccatack_dispatch/tests/support/mod.rs
@@ -14,7 +14,8 @@
 };
 use yuccatack_queues::{Configuration, ConfigurationStore, ConfigurationVersion, Organisation};
 use yuccatack_runs::{
-    JobSpec, JobSubmission, JobTable, RunEnd, RunId, RunOutcome, StepSpec, TaskId, WorkerLife,
+    JobSpec, JobSubmission, JobTable, RunEnd, RunId, RunOutcome, StepSpec, TaskId,
+    WorkerIncarnation,
 };
 
 pub const LONGEST_LEASE: DurationMs = DurationMs::new(10_000);
@@ -39,15 +40,15 @@
     NodeName::new(&format!("node-{index}")).unwrap()
 }
 
-pub fn life(index: usize, started_at_unix_ms: u64) -> WorkerLife {
+pub fn incarnation(index: usize, started_at_unix_ms: u64) -> WorkerIncarnation {
     let worker = WorkerName::new(&format!("worker-{index}")).unwrap();
-    WorkerLife { node: node(index), worker, started_at_unix_ms }
+    WorkerIncarnation { node: node(index), worker, started_at_unix_ms }
 }
 
 pub fn state(index: usize, started_at_unix_ms: u64) -> WorkerState {
     let rack: Arc<str> = Arc::from(format!("rack-{}", index / 2));
     WorkerState {
-        life: life(index, started_at_unix_ms),
+        incarnation: incarnation(index, started_at_unix_ms),
         service: ServiceName::new("pool").unwrap(),
         data_centre: DataCentreName::new("here").unwrap(),
         capacity: Resources { cores_milli: 32_000, memory_bytes: 1 << 37, accelerator_count: 8 },
@@ -149,7 +150,9 @@
                 TableChange::End(end) => {
                     self.table.end(end, self.now.get());
                 }
-                TableChange::NoteEnds(life, number) => self.table.note_ends(&life, number),
+                TableChange::AcknowledgeEnds(incarnation, number) => {
+                    self.table.acknowledge_ends(&incarnation, number)
+                }
             }
         }
     }
@@ -168,7 +171,7 @@
         stopped: &[RunId],
     ) {
         self.observe_unconfirmed(index, running, ended, stopped);
-        self.dispatcher.confirm_lead(self.now);
+        self.dispatcher.confirm_leadership(self.now);
     }
 
     pub fn observe_unconfirmed(
@@ -190,7 +193,7 @@
             EndedRun { number, run: run.clone(), outcome: *outcome, checkpoint: None }
         });
         let observation = Observation {
-            life: life(index, 1),
+            incarnation: incarnation(index, 1),
             ended: ended.collect(),
             clock_ms: self.clock_ms(),
             running: running.iter().map(row).collect(),
@@ -225,7 +228,7 @@
 
     /// The worker that a run is on.
     pub fn place(&self, run: &RunId) -> usize {
-        let node = &self.table.open_runs()[run].life.node;
+        let node = &self.table.open_runs()[run].incarnation.node;
         node.as_str().trim_start_matches("node-").parse().unwrap()
     }
 
--- a/crates/yuccatack_queue_control/src/actor.rs
+++ b/crates/yuccatack_queue_control/src/actor.rs
@@ -328,7 +328,7 @@
             Some(Confirmed::Leases { began_at }) => {
                 self.lease_read = false;
                 if let Some(dispatcher) = &mut self.dispatcher {
-                    dispatcher.confirm_lead(began_at);
+                    dispatcher.confirm_leadership(began_at);
                 }
                 self.decision_due = true;
             }
--- a/crates/yuccatack_queue_control/src/state.rs
+++ b/crates/yuccatack_queue_control/src/state.rs
@@ -47,7 +47,7 @@
                 Applied::Changed
             }
             Command::Forget(names) => {
-                self.jobs.forget(&names);
+                self.jobs.remove_ended(&names);
                 Applied::Changed
             }
         }
@@ -61,7 +61,9 @@
             TableChange::End(end) => {
                 self.jobs.end(end, now_unix_ms);
             }
-            TableChange::NoteEnds(life, number) => self.jobs.note_ends(&life, number),
+            TableChange::AcknowledgeEnds(incarnation, number) => {
+                self.jobs.acknowledge_ends(&incarnation, number)
+            }
         }
     }
 
--- a/crates/yuccatack_queue_control/tests/support/mod.rs
+++ b/crates/yuccatack_queue_control/tests/support/mod.rs
@@ -22,7 +22,7 @@
 use yuccatack_queues::{
     AccessKey, Configuration, ConfigurationVersion, Organisation, Queue, Service,
 };
-use yuccatack_runs::{JobPhase, JobSpec, StepSpec, WorkerLife};
+use yuccatack_runs::{JobPhase, JobSpec, StepSpec, WorkerIncarnation};
 use yuccatack_stand_ins::{QueueWorkerHandle, QueueWorkerStandIn};
 use yuccatack_telemetry::Metrics;
 use yuccatack_worker_agent::{Agent, AgentConfig, Announcement};
@@ -106,7 +106,7 @@
         let config = AgentConfig { node: node.clone() };
         tokio::spawn(Agent::run(config, worker, self.client.clone(), waiting, shutdown));
         let state = WorkerState {
-            life: WorkerLife {
+            incarnation: WorkerIncarnation {
                 node,
                 worker: WorkerName::new(name).unwrap(),
                 started_at_unix_ms: 1,
--- a/crates/yuccatack_queues/src/lib.rs
+++ b/crates/yuccatack_queues/src/lib.rs
@@ -11,4 +11,4 @@
     AccessKey, Configuration, ConfigurationVersion, Organisation, Queue, Service,
 };
 pub use store::{Acceptance, Access, AccessError, ConfigurationStore};
-pub use validation::ConfigurationProblem;
+pub use validation::ConfigurationError;
--- a/crates/yuccatack_queues/src/validation.rs
+++ b/crates/yuccatack_queues/src/validation.rs
@@ -7,7 +7,7 @@
 
 /// Why a configuration is refused.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
-pub enum ConfigurationProblem {
+pub enum ConfigurationError {
     /// A queue names a service that is not there.
     #[snafu(display("queue `{queue}` names the unknown service `{service}`; add the service"))]
     UnknownService {
@@ -42,12 +42,12 @@
 
 impl Configuration {
     /// Finds the first reason to refuse the configuration.
-    pub fn validate(&self) -> Result<(), ConfigurationProblem> {
+    pub fn validate(&self) -> Result<(), ConfigurationError> {
         self.validate_queues()?;
         self.validate_keys()
     }
 
-    fn validate_queues(&self) -> Result<(), ConfigurationProblem> {
+    fn validate_queues(&self) -> Result<(), ConfigurationError> {
         let services: FastHashSet<&ServiceName> =
             self.services.iter().map(|service| &service.name).collect();
         let mut places = FastHashMap::default();
@@ -55,27 +55,27 @@
             let name = queue.name.clone();
             if !services.contains(&queue.service) {
                 let service = queue.service.clone();
-                return Err(ConfigurationProblem::UnknownService { queue: name, service });
+                return Err(ConfigurationError::UnknownService { queue: name, service });
             }
             if queue.call_timeout_ms.get() == 0 {
-                return Err(ConfigurationProblem::NoTimeout { queue: name });
+                return Err(ConfigurationError::NoTimeout { queue: name });
             }
             if let Some(first) = places.insert((&queue.host, &queue.path_prefix), &queue.name) {
                 let first = first.clone();
-                return Err(ConfigurationProblem::SamePlace { first, second: name });
+                return Err(ConfigurationError::SamePlace { first, second: name });
             }
         }
         Ok(())
     }
 
-    fn validate_keys(&self) -> Result<(), ConfigurationProblem> {
+    fn validate_keys(&self) -> Result<(), ConfigurationError> {
         let mut owners: FastHashMap<&AccessKey, &OrganisationName> = FastHashMap::default();
         for organisation in &self.organisations {
             for key in &organisation.keys {
                 match owners.insert(key, &organisation.name) {
                     Some(first) if *first != organisation.name => {
                         let (first, second) = (first.clone(), organisation.name.clone());
-                        return Err(ConfigurationProblem::SharedKey { first, second });
+                        return Err(ConfigurationError::SharedKey { first, second });
                     }
                     _ => {}
                 }
--- a/crates/yuccatack_queues/tests/version_order.rs
+++ b/crates/yuccatack_queues/tests/version_order.rs
@@ -6,7 +6,7 @@
 
 use yuccatack_core::{DurationMs, OrganisationName, QueueName, ServiceName};
 use yuccatack_queues::{
-    Acceptance, AccessError, AccessKey, Configuration, ConfigurationProblem, ConfigurationStore,
+    Acceptance, AccessError, AccessKey, Configuration, ConfigurationError, ConfigurationStore,
     ConfigurationVersion, Organisation, Queue, Service,
 };
 
@@ -77,14 +77,14 @@
     let valid = configuration(1);
     assert_eq!(valid.validate(), Ok(()));
     let no_services = Configuration { services: Vec::new(), ..valid.clone() };
-    assert!(matches!(no_services.validate(), Err(ConfigurationProblem::UnknownService { .. })));
+    assert!(matches!(no_services.validate(), Err(ConfigurationError::UnknownService { .. })));
     let same_place =
         Configuration { queues: vec![queue("q", "/a/"), queue("r", "/a/")], ..valid.clone() };
-    assert!(matches!(same_place.validate(), Err(ConfigurationProblem::SamePlace { .. })));
+    assert!(matches!(same_place.validate(), Err(ConfigurationError::SamePlace { .. })));
     let mut no_timeout = valid.clone();
     no_timeout.queues[0].call_timeout_ms = DurationMs::ZERO;
-    assert!(matches!(no_timeout.validate(), Err(ConfigurationProblem::NoTimeout { .. })));
+    assert!(matches!(no_timeout.validate(), Err(ConfigurationError::NoTimeout { .. })));
     let shared = vec![organisation("one", "k"), organisation("two", "k")];
     let shared_key = Configuration { organisations: shared, ..valid };
-    assert!(matches!(shared_key.validate(), Err(ConfigurationProblem::SharedKey { .. })));
+    assert!(matches!(shared_key.validate(), Err(ConfigurationError::SharedKey { .. })));
 }
--- a/crates/yuccatack_runs/src/command.rs
+++ b/crates/yuccatack_runs/src/command.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use yuccatack_core::{DurationMs, JobName, OrganisationName, QueueName, ServiceName};
 
-use crate::identity::{RunId, WorkerLife};
+use crate::identity::{RunId, WorkerIncarnation};
 use crate::spec::JobSpec;
 
 /// An accepted job with the terms of its queue at that time.
@@ -59,7 +59,8 @@
     /// The run.
     pub run: RunId,
     /// Where it runs.
-    pub life: WorkerLife,
+    #[serde(rename = "life")]
+    pub incarnation: WorkerIncarnation,
 }
 
 /// A run that is over.
@@ -90,6 +91,6 @@
     Alone,
     /// It never began, and cannot begin any more.
     NeverBegan,
-    /// The worker's life is over, or its lease must have expired.
+    /// The worker's incarnation is over, or its lease must have expired.
     WorkerLost,
 }
--- a/crates/yuccatack_runs/src/identity.rs
+++ b/crates/yuccatack_runs/src/identity.rs
@@ -1,4 +1,4 @@
-//! What identifies tasks, runs and the lives of workers.
+//! What identifies tasks, runs and the incarnations of workers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -67,18 +67,18 @@
     }
 }
 
-/// One life of a worker's process; what ran in an earlier life is gone.
+/// One incarnation of a worker's process; what ran in an earlier incarnation is gone.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
-pub struct WorkerLife {
-    /// The node whose agent speaks for the worker; stays the same over all lives.
+pub struct WorkerIncarnation {
+    /// The node whose agent speaks for the worker; stays the same over all incarnations.
     pub node: NodeName,
     /// The worker's name, which it may keep over a restart.
     pub worker: WorkerName,
-    /// When this life began by the worker's time of day, which tells lives of one name apart.
+    /// When this incarnation began by the worker's time of day, which tells incarnations of one name apart.
     pub started_at_unix_ms: u64,
 }
 
-impl fmt::Display for WorkerLife {
+impl fmt::Display for WorkerIncarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}@{}", self.worker, self.started_at_unix_ms)
     }
--- a/crates/yuccatack_runs/src/lib.rs
+++ b/crates/yuccatack_runs/src/lib.rs
@@ -12,8 +12,8 @@
 mod table;
 
 pub use command::{CancelOutcome, JobSubmission, RunEnd, RunOutcome, RunStart, SubmitOutcome};
-pub use identity::{ParseTaskIdError, RunId, TaskId, WorkerLife};
+pub use identity::{ParseTaskIdError, RunId, TaskId, WorkerIncarnation};
 pub use job::{Job, JobPhase};
 pub use progress::{Checkpoint, Occurrence, StepProgress, TaskProgress};
-pub use spec::{JobSpec, JobSpecProblem, Schedule, StepSpec};
+pub use spec::{JobSpec, JobSpecError, Schedule, StepSpec};
 pub use table::{JobTable, OpenRun};
--- a/crates/yuccatack_runs/src/spec.rs
+++ b/crates/yuccatack_runs/src/spec.rs
@@ -64,9 +64,11 @@
     /// The bound of the tail latency of tasks that serve users.
     pub latency_target_ms: Option<DurationMs>,
     /// Whether the tasks use only the processor time that others leave.
-    pub fills: bool,
+    #[serde(rename = "fills")]
+    pub uses_idle_cpu: bool,
     /// How many tasks of a long-running step planned work may take away at once.
-    pub unavailable_limit: Option<u32>,
+    #[serde(rename = "unavailable_limit")]
+    pub max_unavailable_count: Option<u32>,
 }
 
 impl fmt::Display for JobSpec {
@@ -102,7 +104,7 @@
             (self.tasks_per_worker.is_some(), " spread"),
             (self.speculative, " speculative"),
             (self.long_running, " long_running"),
-            (self.fills, " fills"),
+            (self.uses_idle_cpu, " fills"),
         ];
         marks.iter().filter(|(set, _)| *set).try_for_each(|(_, mark)| formatter.write_str(mark))
     }
@@ -110,7 +112,7 @@
 
 /// Why a job is refused.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
-pub enum JobSpecProblem {
+pub enum JobSpecError {
     /// There is nothing to run.
     #[snafu(display("the job has no tasks; add a step with at least one task"))]
     Empty,
@@ -132,17 +134,17 @@
 
 impl JobSpec {
     /// Finds the first reason to refuse the job.
-    pub fn validate(&self) -> Result<(), JobSpecProblem> {
+    pub fn validate(&self) -> Result<(), JobSpecError> {
         let count: u64 = self.steps.iter().map(|step| u64::from(step.task_count)).sum();
         if count == 0 || self.steps.iter().any(|step| step.task_count == 0) {
-            return Err(JobSpecProblem::Empty);
+            return Err(JobSpecError::Empty);
         }
         if count > TASK_COUNT_LIMIT {
-            return Err(JobSpecProblem::TooManyTasks { count });
+            return Err(JobSpecError::TooManyTasks { count });
         }
         for (step, spec) in (0u32..).zip(&self.steps) {
             if let Some(after) = spec.after.iter().find(|after| **after >= step) {
-                return Err(JobSpecProblem::WrongOrder { step, after: *after });
+                return Err(JobSpecError::WrongOrder { step, after: *after });
             }
         }
         Ok(())
--- a/crates/yuccatack_runs/src/table.rs
+++ b/crates/yuccatack_runs/src/table.rs
@@ -6,14 +6,15 @@
 use yuccatack_core::{JobName, QueueName, Resources};
 
 use crate::command::{CancelOutcome, JobSubmission, RunEnd, RunStart, SubmitOutcome};
-use crate::identity::{RunId, TaskId, WorkerLife};
+use crate::identity::{RunId, TaskId, WorkerIncarnation};
 use crate::job::{Job, JobPhase};
 
 /// A run that was begun and is not known to have ended.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OpenRun {
     /// Where it runs.
-    pub life: WorkerLife,
+    #[serde(rename = "life")]
+    pub incarnation: WorkerIncarnation,
     /// What it occupies there.
     pub demand: Resources,
 }
@@ -25,12 +26,13 @@
     jobs: BTreeMap<JobName, Job>,
     #[serde(with = "pairs")]
     runs: BTreeMap<RunId, OpenRun>,
-    /// The open runs by the life that they are on, made from `runs`.
+    /// The open runs by the incarnation that they are on, made from `runs`.
     #[serde(skip)]
-    runs_by_life: BTreeMap<WorkerLife, BTreeSet<RunId>>,
-    /// The last end of each worker's life that is in the table.
+    runs_by_incarnation: BTreeMap<WorkerIncarnation, BTreeSet<RunId>>,
+    /// The last end of each worker's incarnation that is in the table.
+    #[serde(rename = "noted_ends")]
     #[serde(with = "pairs")]
-    noted_ends: BTreeMap<WorkerLife, u64>,
+    acknowledged_ends: BTreeMap<WorkerIncarnation, u64>,
     next_order: u64,
 }
 
@@ -40,19 +42,20 @@
     jobs: BTreeMap<JobName, Job>,
     #[serde(with = "pairs")]
     runs: BTreeMap<RunId, OpenRun>,
+    #[serde(rename = "noted_ends")]
     #[serde(with = "pairs")]
-    noted_ends: BTreeMap<WorkerLife, u64>,
+    acknowledged_ends: BTreeMap<WorkerIncarnation, u64>,
     next_order: u64,
 }
 
 impl From<StoredTable> for JobTable {
     fn from(stored: StoredTable) -> Self {
-        let StoredTable { jobs, runs, noted_ends, next_order } = stored;
-        let mut runs_by_life: BTreeMap<WorkerLife, BTreeSet<RunId>> = BTreeMap::new();
+        let StoredTable { jobs, runs, acknowledged_ends, next_order } = stored;
+        let mut runs_by_incarnation: BTreeMap<WorkerIncarnation, BTreeSet<RunId>> = BTreeMap::new();
         for (run, open) in &runs {
-            runs_by_life.entry(open.life.clone()).or_default().insert(run.clone());
+            runs_by_incarnation.entry(open.incarnation.clone()).or_default().insert(run.clone());
         }
-        Self { jobs, runs, runs_by_life, noted_ends, next_order }
+        Self { jobs, runs, runs_by_incarnation, acknowledged_ends, next_order }
     }
 }
 
@@ -90,10 +93,14 @@
             let Some(job) = self.jobs.get_mut(&start.run.task.job) else { continue };
             job.begin(&start.run);
             let demand = job.step_spec(start.run.task.step).map(|step| step.demand);
-            let open = OpenRun { life: start.life.clone(), demand: demand.unwrap_or_default() };
+            let open = OpenRun {
+                incarnation: start.incarnation.clone(),
+                demand: demand.unwrap_or_default(),
+            };
             self.runs.insert(start.run.clone(), open);
-            let of_life = self.runs_by_life.entry(start.life.clone()).or_default();
-            of_life.insert(start.run.clone());
+            let of_incarnation =
+                self.runs_by_incarnation.entry(start.incarnation.clone()).or_default();
+            of_incarnation.insert(start.run.clone());
         }
         if let Some(start) = group.first()
             && let Some(job) = self.jobs.get_mut(&start.run.task.job)
@@ -106,10 +113,10 @@
     /// Notes how a run ended; an end of a run that is not open changes nothing.
     pub fn end(&mut self, end: RunEnd, now_unix_ms: u64) -> bool {
         let Some(open) = self.runs.remove(&end.run) else { return false };
-        if let Some(of_life) = self.runs_by_life.get_mut(&open.life) {
-            of_life.remove(&end.run);
-            if of_life.is_empty() {
-                self.runs_by_life.remove(&open.life);
+        if let Some(of_incarnation) = self.runs_by_incarnation.get_mut(&open.incarnation) {
+            of_incarnation.remove(&end.run);
+            if of_incarnation.is_empty() {
+                self.runs_by_incarnation.remove(&open.incarnation);
             }
         }
         if let Some(job) = self.jobs.get_mut(&end.run.task.job) {
@@ -118,15 +125,16 @@
         true
     }
 
-    /// Remembers up to which number the ends of a worker's life are in the table.
-    pub fn note_ends(&mut self, life: &WorkerLife, number: u64) {
-        self.noted_ends.retain(|noted, _| noted.node != life.node || noted == life);
-        let noted = self.noted_ends.entry(life.clone()).or_default();
+    /// Remembers up to which number the ends of a worker's incarnation are in the table.
+    pub fn acknowledge_ends(&mut self, incarnation: &WorkerIncarnation, number: u64) {
+        self.acknowledged_ends
+            .retain(|noted, _| noted.node != incarnation.node || noted == incarnation);
+        let noted = self.acknowledged_ends.entry(incarnation.clone()).or_default();
         *noted = number.max(*noted);
     }
 
     /// Drops ended jobs; nobody asks for them any more.
-    pub fn forget(&mut self, names: &[JobName]) {
+    pub fn remove_ended(&mut self, names: &[JobName]) {
         for name in names {
             let ended = self.jobs.get(name).is_some_and(|job| job.phase.is_final());
             if ended && !self.runs.keys().any(|run| run.task.job == *name) {
@@ -160,14 +168,14 @@
             .filter(move |member| member.number == number)
     }
 
-    /// The runs that may exist on one life of a worker.
-    pub fn runs_of(&self, life: &WorkerLife) -> impl Iterator<Item = &RunId> {
-        self.runs_by_life.get(life).into_iter().flatten()
+    /// The runs that may exist on one incarnation of a worker.
+    pub fn runs_on(&self, incarnation: &WorkerIncarnation) -> impl Iterator<Item = &RunId> {
+        self.runs_by_incarnation.get(incarnation).into_iter().flatten()
     }
 
-    /// Up to which number the ends of a worker's life are in the table.
-    pub fn noted_end(&self, life: &WorkerLife) -> u64 {
-        self.noted_ends.get(life).copied().unwrap_or(0)
+    /// Up to which number the ends of a worker's incarnation are in the table.
+    pub fn acknowledged_end(&self, incarnation: &WorkerIncarnation) -> u64 {
+        self.acknowledged_ends.get(incarnation).copied().unwrap_or(0)
     }
 
     /// How many jobs of a queue have not begun any work.
--- a/crates/yuccatack_runs/tests/job_progress.rs
+++ b/crates/yuccatack_runs/tests/job_progress.rs
@@ -7,8 +7,8 @@
 
 use yuccatack_core::{DurationMs, JobName, NodeName, QueueName, ServiceName, WorkerName};
 use yuccatack_runs::{
-    CancelOutcome, JobPhase, JobSpec, JobSpecProblem, JobSubmission, JobTable, RunEnd, RunId,
-    RunOutcome, RunStart, Schedule, StepSpec, SubmitOutcome, TaskId, WorkerLife,
+    CancelOutcome, JobPhase, JobSpec, JobSpecError, JobSubmission, JobTable, RunEnd, RunId,
+    RunOutcome, RunStart, Schedule, StepSpec, SubmitOutcome, TaskId, WorkerIncarnation,
 };
 
 const NOW_UNIX_MS: u64 = 1_000;
@@ -38,8 +38,8 @@
     table
 }
 
-fn life(name: &str) -> WorkerLife {
-    WorkerLife {
+fn incarnation(name: &str) -> WorkerIncarnation {
+    WorkerIncarnation {
         node: NodeName::new(name).unwrap(),
         worker: WorkerName::new(name).unwrap(),
         started_at_unix_ms: 5,
@@ -52,7 +52,7 @@
 }
 
 fn start(run: RunId) -> RunStart {
-    RunStart { run, life: life("w1") }
+    RunStart { run, incarnation: incarnation("w1") }
 }
 
 fn end(run: RunId, outcome: RunOutcome) -> RunEnd {
@@ -187,12 +187,12 @@
 #[test]
 fn senseless_jobs_refused() {
     let spec = |steps| JobSpec { payload: Arc::from(""), steps, schedule: None };
-    assert_eq!(spec(vec![]).validate(), Err(JobSpecProblem::Empty));
-    assert_eq!(spec(vec![step(0, false, &[])]).validate(), Err(JobSpecProblem::Empty));
+    assert_eq!(spec(vec![]).validate(), Err(JobSpecError::Empty));
+    assert_eq!(spec(vec![step(0, false, &[])]).validate(), Err(JobSpecError::Empty));
     let endless = spec(vec![step(1, false, &[0])]);
-    assert_eq!(endless.validate(), Err(JobSpecProblem::WrongOrder { step: 0, after: 0 }));
+    assert_eq!(endless.validate(), Err(JobSpecError::WrongOrder { step: 0, after: 0 }));
     let large = spec(vec![step(u32::MAX, false, &[])]);
-    assert!(matches!(large.validate(), Err(JobSpecProblem::TooManyTasks { .. })));
+    assert!(matches!(large.validate(), Err(JobSpecError::TooManyTasks { .. })));
 }
 
 #[test]
--- a/crates/yuccatack_stand_ins/src/queue_worker.rs
+++ b/crates/yuccatack_stand_ins/src/queue_worker.rs
@@ -149,7 +149,7 @@
         self.token = self.token.max(call.token);
         self.lease_until_clock_ms =
             self.lease_until_clock_ms.max(call.until_clock_ms.unwrap_or_default());
-        self.ended.retain(|end| end.number > call.noted_end);
+        self.ended.retain(|end| end.number > call.acknowledged_end);
         let running = self.running.keys().map(|run| RunningRun {
             run: run.clone(),
             checkpoint: None,
--- a/crates/yuccatack_worker_agent/src/agent.rs
+++ b/crates/yuccatack_worker_agent/src/agent.rs
@@ -11,7 +11,7 @@
 use yuccatack_lifecycle::{Shutdown, ShutdownPhase};
 use yuccatack_queue_client::protocol::{AgentFrame, LeaderFrame};
 use yuccatack_queue_client::{AgentStream, Backoff, QueueClient};
-use yuccatack_runs::{RunId, WorkerLife};
+use yuccatack_runs::{RunId, WorkerIncarnation};
 
 use crate::orders::{OrderBook, StartAction};
 use crate::port::{
@@ -47,16 +47,16 @@
 /// Who the agent is.
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
-    /// The node, which stays the same over all lives of its worker.
+    /// The node, which stays the same over all incarnations of its worker.
     pub node: NodeName,
 }
 
 /// What a call to the worker or the leader ended with.
 enum Event {
     Attached(Result<AgentStream, Option<SocketAddr>>),
-    Started(WorkerLife, RunId, StartResult),
-    Stopped(WorkerLife, RunId, StopResult),
-    Held { life: WorkerLife, stopped: Vec<RunId>, result: HoldResult },
+    Started(WorkerIncarnation, RunId, StartResult),
+    Stopped(WorkerIncarnation, RunId, StopResult),
+    Held { incarnation: WorkerIncarnation, stopped: Vec<RunId>, result: HoldResult },
 }
 
 /// The agent of one worker.
@@ -73,16 +73,16 @@
     tried: Vec<SocketAddr>,
     token: Option<u64>,
     worker: Option<WorkerState>,
-    /// The number of the newest announcement of the present life.
+    /// The number of the newest announcement of the present incarnation.
     sequence: u64,
-    /// Whether the last look at the present life failed.
+    /// Whether the last look at the present incarnation failed.
     hold_failed: bool,
     holding: bool,
     hold_after: Instant,
     /// The renewed lease, by the worker's clock.
     lease_until_clock_ms: Option<u64>,
     /// Ends up to this number are stored by the leader.
-    noted_end: u64,
+    acknowledged_end: u64,
     /// The last end that the worker listed.
     listed_end: u64,
     orders: OrderBook,
@@ -120,7 +120,7 @@
             holding: false,
             hold_after: now,
             lease_until_clock_ms: None,
-            noted_end: 0,
+            acknowledged_end: 0,
             listed_end: 0,
             orders: OrderBook::default(),
         };
@@ -160,18 +160,20 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Attached(result) => self.on_attached(result),
-            Event::Started(life, run, result) => {
-                if self.is_current(&life) {
+            Event::Started(incarnation, run, result) => {
+                if self.is_current(&incarnation) {
                     self.orders.on_start_result(&run, result);
                     self.report(AgentMessage::Start(run, result));
                 }
             }
-            Event::Stopped(life, run, result) => {
-                if self.is_current(&life) {
+            Event::Stopped(incarnation, run, result) => {
+                if self.is_current(&incarnation) {
                     self.orders.on_stop_result(&run, result == StopResult::Confirmed);
                 }
             }
-            Event::Held { life, stopped, result } => self.on_held(&life, stopped, result),
+            Event::Held { incarnation, stopped, result } => {
+                self.on_held(&incarnation, stopped, result)
+            }
         }
     }
 
@@ -213,38 +215,38 @@
 
     fn on_orders(&mut self, orders: Orders) {
         let outdated = self.token.is_some_and(|held| orders.token < held);
-        if outdated || !self.is_current(&orders.life) {
+        if outdated || !self.is_current(&orders.incarnation) {
             log::warn!(
-                event = "orders_dropped", token = orders.token, life:% = orders.life;
-                "the orders are of an earlier leader or for another life of the worker"
+                event = "orders_dropped", token = orders.token, life:% = orders.incarnation;
+                "the orders are of an earlier leader or for another incarnation of the worker"
             );
             return;
         }
         self.token = Some(orders.token);
-        self.note_ends(orders.noted_end);
+        self.acknowledge_ends(orders.acknowledged_end);
         if orders.lease_until_clock_ms.is_some() {
             self.lease_until_clock_ms = orders.lease_until_clock_ms;
         }
         for start in orders.starts {
-            self.start(&orders.life, orders.token, start);
+            self.start(&orders.incarnation, orders.token, start);
         }
         for run in orders.stops {
-            self.stop(&orders.life, orders.token, run);
+            self.stop(&orders.incarnation, orders.token, run);
         }
     }
 
     /// Takes note that ends are stored; the worker can forget them at the next look.
-    fn note_ends(&mut self, noted_end: u64) {
-        if noted_end <= self.noted_end {
+    fn acknowledge_ends(&mut self, acknowledged_end: u64) {
+        if acknowledged_end <= self.acknowledged_end {
             return;
         }
-        self.noted_end = noted_end;
-        if noted_end >= self.listed_end && !self.hold_failed {
+        self.acknowledged_end = acknowledged_end;
+        if acknowledged_end >= self.listed_end && !self.hold_failed {
             self.hold_after = Instant::now();
         }
     }
 
-    fn start(&mut self, life: &WorkerLife, token: u64, order: StartOrder) {
+    fn start(&mut self, incarnation: &WorkerIncarnation, token: u64, order: StartOrder) {
         let StartOrder { run, payload, until_clock_ms, checkpoint } = order;
         match self.orders.on_start_order(&run) {
             StartAction::Wait => {}
@@ -256,9 +258,10 @@
                 self.report(AgentMessage::Start(run, StartResult::Refused));
             }
             StartAction::Send => {
-                let (port, events, life) = (self.port.clone(), self.events.clone(), life.clone());
+                let (port, events, incarnation) =
+                    (self.port.clone(), self.events.clone(), incarnation.clone());
                 let call = StartCall {
-                    life: life.clone(),
+                    incarnation: incarnation.clone(),
                     token,
                     run: run.clone(),
                     payload,
@@ -268,22 +271,23 @@
                 tokio::spawn(async move {
                     let result = port.start(call).await;
                     log::info!(event = "start_carried_out", run:% = run, result:? = result; "a start ended");
-                    let _ = events.send(Event::Started(life, run, result)).await;
+                    let _ = events.send(Event::Started(incarnation, run, result)).await;
                 });
             }
         }
     }
 
-    fn stop(&mut self, life: &WorkerLife, token: u64, run: RunId) {
+    fn stop(&mut self, incarnation: &WorkerIncarnation, token: u64, run: RunId) {
         if !self.orders.on_stop_order(&run) {
             return;
         }
-        let (port, events, life) = (self.port.clone(), self.events.clone(), life.clone());
-        let call = StopCall { life: life.clone(), token, run: run.clone() };
+        let (port, events, incarnation) =
+            (self.port.clone(), self.events.clone(), incarnation.clone());
+        let call = StopCall { incarnation: incarnation.clone(), token, run: run.clone() };
         tokio::spawn(async move {
             let result = port.stop(call).await;
             log::info!(event = "stop_carried_out", run:% = run, result:? = result; "a stop ended");
-            let _ = events.send(Event::Stopped(life, run, result)).await;
+            let _ = events.send(Event::Stopped(incarnation, run, result)).await;
         });
     }
 
@@ -291,11 +295,14 @@
         match announcement {
             Announcement::Present { state, sequence } => self.on_present(state, sequence),
             Announcement::Left(name) => {
-                let left = self.worker.take_if(|worker| worker.life.worker == name);
+                let left = self.worker.take_if(|worker| worker.incarnation.worker == name);
                 if let Some(worker) = left {
-                    log::info!(event = "worker_departed", life:% = worker.life; "the worker has left");
+                    log::info!(
+                        event = "worker_departed", life:% = worker.incarnation;
+                        "the worker has left"
+                    );
                     self.forget_life();
-                    self.report(AgentMessage::Left(worker.life));
+                    self.report(AgentMessage::Left(worker.incarnation));
                 }
             }
         }
@@ -303,7 +310,7 @@
 
     fn on_present(&mut self, state: WorkerState, sequence: u64) {
         let newer = match &self.worker {
-            Some(worker) if worker.life == state.life => {
+            Some(worker) if worker.incarnation == state.incarnation => {
                 if sequence > self.sequence && *worker != state {
                     self.worker = Some(state.clone());
                     self.report(AgentMessage::State(state));
@@ -311,15 +318,19 @@
                 self.sequence = self.sequence.max(sequence);
                 return;
             }
-            // An announcement of an earlier life may arrive late. The time of day can go back, so
-            // a life that does not answer any more gives way as well.
+            // An announcement of an earlier incarnation may arrive late. The time of day can go back,
+            // so an incarnation that does not answer any more gives way as well.
             Some(worker) => {
-                state.life.started_at_unix_ms > worker.life.started_at_unix_ms || self.hold_failed
+                state.incarnation.started_at_unix_ms > worker.incarnation.started_at_unix_ms
+                    || self.hold_failed
             }
             None => true,
         };
         if newer {
-            log::info!(event = "worker_found", life:% = state.life; "a worker announced itself");
+            log::info!(
+                event = "worker_found", life:% = state.incarnation;
+                "a worker announced itself"
+            );
             self.forget_life();
             self.sequence = sequence;
             self.worker = Some(state.clone());
@@ -329,7 +340,7 @@
 
     fn forget_life(&mut self) {
         self.lease_until_clock_ms = None;
-        self.noted_end = 0;
+        self.acknowledged_end = 0;
         self.listed_end = 0;
         self.orders = OrderBook::default();
         self.hold_failed = false;
@@ -341,37 +352,42 @@
             return;
         }
         self.holding = true;
-        let life = worker.life.clone();
+        let incarnation = worker.incarnation.clone();
         let call = HoldCall {
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             token,
             until_clock_ms: self.lease_until_clock_ms,
-            noted_end: self.noted_end,
+            acknowledged_end: self.acknowledged_end,
             wait_ms: HOLD_WAIT,
         };
         let stopped = self.orders.stopped();
         let (port, events) = (self.port.clone(), self.events.clone());
         tokio::spawn(async move {
             let result = port.hold(call).await;
-            let _ = events.send(Event::Held { life, stopped, result }).await;
+            let _ = events.send(Event::Held { incarnation, stopped, result }).await;
         });
     }
 
-    fn on_held(&mut self, life: &WorkerLife, stopped: Vec<RunId>, result: HoldResult) {
+    fn on_held(
+        &mut self,
+        incarnation: &WorkerIncarnation,
+        stopped: Vec<RunId>,
+        result: HoldResult,
+    ) {
         self.holding = false;
-        if !self.is_current(life) {
+        if !self.is_current(incarnation) {
             return;
         }
         match result {
-            HoldResult::Seen(seen) if is_life(&seen, life) => {
+            HoldResult::Seen(seen) if is_life(&seen, incarnation) => {
                 self.hold_failed = false;
                 self.listed_end = seen.ended.iter().map(|end| end.number).max().unwrap_or(0);
-                if self.listed_end > self.noted_end {
+                if self.listed_end > self.acknowledged_end {
                     self.hold_after = Instant::now() + LISTED_ENDS_PAUSE;
                 }
                 let ended: Vec<RunId> = seen.ended.iter().map(|end| end.run.clone()).collect();
                 let observation = Observation {
-                    life: life.clone(),
+                    incarnation: incarnation.clone(),
                     clock_ms: seen.clock_ms,
                     running: seen.running,
                     ended: seen.ended,
@@ -383,7 +399,10 @@
             }
             HoldResult::Seen(_) | HoldResult::OtherLife | HoldResult::Failed => {
                 if !self.hold_failed {
-                    log::warn!(event = "worker_silent", life:% = life; "the worker did not answer");
+                    log::warn!(
+                        event = "worker_silent", life:% = incarnation;
+                        "the worker did not answer"
+                    );
                 }
                 self.hold_failed = true;
                 self.hold_after = Instant::now() + HOLD_RETRY;
@@ -391,8 +410,8 @@
         }
     }
 
-    fn is_current(&self, life: &WorkerLife) -> bool {
-        self.worker.as_ref().is_some_and(|worker| worker.life == *life)
+    fn is_current(&self, incarnation: &WorkerIncarnation) -> bool {
+        self.worker.as_ref().is_some_and(|worker| worker.incarnation == *incarnation)
     }
 
     /// Sends a report; what does not reach the leader is found again after the next attachment.
@@ -407,8 +426,8 @@
     }
 }
 
-fn is_life(seen: &HoldSeen, life: &WorkerLife) -> bool {
-    seen.started_at_unix_ms.is_none_or(|started| started == life.started_at_unix_ms)
+fn is_life(seen: &HoldSeen, incarnation: &WorkerIncarnation) -> bool {
+    seen.started_at_unix_ms.is_none_or(|started| started == incarnation.started_at_unix_ms)
 }
 
 async fn receive(stream: &mut Option<AgentStream>) -> Option<LeaderFrame> {
--- a/crates/yuccatack_worker_agent/src/orders.rs
+++ b/crates/yuccatack_worker_agent/src/orders.rs
@@ -1,4 +1,4 @@
-//! Which orders were carried out in the present life of the worker.
+//! Which orders were carried out in the present incarnation of the worker.
 
 use yuccatack_core::{FastHashMap, FastHashSet};
 use yuccatack_dispatch::StartResult;
@@ -22,7 +22,7 @@
     Report(StartResult),
 }
 
-/// The orders of the present life.
+/// The orders of the present incarnation.
 ///
 /// A start is sent to the worker once only, since a second answer would hide that the first one is
 /// still under way.
--- a/crates/yuccatack_worker_agent/src/port.rs
+++ b/crates/yuccatack_worker_agent/src/port.rs
@@ -5,7 +5,7 @@
 
 use yuccatack_core::{DurationMs, WorkerName};
 use yuccatack_dispatch::{EndedRun, RunningRun, StartResult, WorkerState};
-use yuccatack_runs::{RunId, WorkerLife};
+use yuccatack_runs::{RunId, WorkerIncarnation};
 
 /// What a worker says of itself.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,7 +14,7 @@
     Present {
         /// The worker.
         state: WorkerState,
-        /// Numbers the announcements of one life, so that a late one can be told.
+        /// Numbers the announcements of one incarnation, so that a late one can be told.
         sequence: u64,
     },
     /// It leaves now.
@@ -24,8 +24,8 @@
 /// A run to begin.
 #[derive(Clone, Debug)]
 pub struct StartCall {
-    /// The life that may carry it out.
-    pub life: WorkerLife,
+    /// The incarnation that may carry it out.
+    pub incarnation: WorkerIncarnation,
     /// The fencing token of the leader that ordered it.
     pub token: u64,
     /// The run.
@@ -41,8 +41,8 @@
 /// A run to stop.
 #[derive(Clone, Debug)]
 pub struct StopCall {
-    /// The life that may carry it out.
-    pub life: WorkerLife,
+    /// The incarnation that may carry it out.
+    pub incarnation: WorkerIncarnation,
     /// The fencing token of the leader that ordered it.
     pub token: u64,
     /// The run.
@@ -52,14 +52,14 @@
 /// A look at the worker, and a renewal of its lease.
 #[derive(Clone, Debug)]
 pub struct HoldCall {
-    /// The life that may carry it out.
-    pub life: WorkerLife,
+    /// The incarnation that may carry it out.
+    pub incarnation: WorkerIncarnation,
     /// The fencing token of the newest leader.
     pub token: u64,
     /// The lease, by the worker's clock, if the leader renewed it.
     pub until_clock_ms: Option<u64>,
     /// Ends up to this number may be forgotten.
-    pub noted_end: u64,
+    pub acknowledged_end: u64,
     /// How long the worker may wait for a run to end before it answers.
     pub wait_ms: DurationMs,
 }
@@ -80,7 +80,7 @@
 pub enum HoldResult {
     /// The worker answered.
     Seen(HoldSeen),
-    /// Another life of the worker answered.
+    /// Another incarnation of the worker answered.
     OtherLife,
     /// The worker refused or did not answer.
     Failed,
@@ -89,7 +89,7 @@
 /// What runs and what has ended.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HoldSeen {
-    /// When the answering life began, by its time of day, if it says so.
+    /// When the answering incarnation began, by its time of day, if it says so.
     pub started_at_unix_ms: Option<u64>,
     /// The worker's steady clock.
     pub clock_ms: u64,
--- a/crates/yuccatack_worker_agent/tests/hold_pace.rs
+++ b/crates/yuccatack_worker_agent/tests/hold_pace.rs
@@ -23,7 +23,7 @@
     QueueControl, QueueControlServer,
 };
 use yuccatack_queue_client::protocol::LeaderFrame;
-use yuccatack_runs::{RunId, RunOutcome, TaskId, WorkerLife};
+use yuccatack_runs::{RunId, RunOutcome, TaskId, WorkerIncarnation};
 use yuccatack_worker_agent::{
     Agent, AgentConfig, Announcement, HoldCall, HoldResult, HoldSeen, StartCall, StopCall,
     StopResult, WorkerPort,
@@ -77,11 +77,11 @@
     }
 
     async fn hold(&self, call: HoldCall) -> HoldResult {
-        self.looks.send(call.noted_end).unwrap();
+        self.looks.send(call.acknowledged_end).unwrap();
         let task = TaskId { job: JobName::new("job").unwrap(), occurrence: 0, step: 0, index: 0 };
         let run = RunId { task, number: 1 };
         let end = EndedRun { number: 1, run, outcome: RunOutcome::Done, checkpoint: None };
-        if call.noted_end == 0 {
+        if call.acknowledged_end == 0 {
             return HoldResult::Seen(HoldSeen { ended: vec![end], ..HoldSeen::default() });
         }
         sleep(Duration::from(call.wait_ms)).await;
@@ -93,7 +93,7 @@
     let node = NodeName::new("node").unwrap();
     let name = WorkerName::new("worker").unwrap();
     WorkerState {
-        life: WorkerLife { node, worker: name, started_at_unix_ms: 1 },
+        incarnation: WorkerIncarnation { node, worker: name, started_at_unix_ms: 1 },
         service: ServiceName::new("pool").unwrap(),
         data_centre: DataCentreName::new("here").unwrap(),
         capacity: Resources::default(),
@@ -151,8 +151,8 @@
     assert_eq!(seen.recv().await, Some(0));
     let orders = Orders {
         token: TOKEN,
-        life: worker().life,
-        noted_end: 1,
+        incarnation: worker().incarnation,
+        acknowledged_end: 1,
         lease_until_clock_ms: None,
         starts: Vec::new(),
         stops: Vec::new(),
@@ -160,6 +160,7 @@
     stream.send(LeaderFrame::Orders(orders)).await.unwrap();
     // The worker is told at the next look, without a renewed lease.
     sleep(Duration::from_millis(500)).await;
-    let told = std::iter::from_fn(|| seen.try_recv().ok()).any(|noted_end| noted_end == 1);
+    let told =
+        std::iter::from_fn(|| seen.try_recv().ok()).any(|acknowledged_end| acknowledged_end == 1);
     assert!(told, "the worker was not told that its end is stored");
 }
