--- a/crates/yuccatack_control/src/actor.rs
+++ b/crates/yuccatack_control/src/actor.rs
@@ -143,7 +143,7 @@
                 self.apply(index, proposal, &payload).await?;
             }
             Committed::Snapshot { index, payload } => self.restore(index, &payload).await?,
-            Committed::SnapshotWanted { index } => self.store_snapshot(index)?,
+            Committed::SnapshotRequested { index } => self.store_snapshot(index)?,
             Committed::ProposalFailed { proposal, failure } => self.pending.fail(proposal, failure),
             Committed::ReadReady { read } => self.answer_read(read).await,
             Committed::ReadFailed { read, failure } => self.fail_read(read, failure),
--- a/crates/yuccatack_queue_control/src/actor.rs
+++ b/crates/yuccatack_queue_control/src/actor.rs
@@ -221,7 +221,7 @@
                 }
                 self.applied = index;
             }
-            Committed::SnapshotWanted { index } => {
+            Committed::SnapshotRequested { index } => {
                 if index == self.applied {
                     self.replication.store_snapshot(index, Bytes::from(encode(&self.state)?));
                 }
--- a/crates/yuccatack_replication/src/committed.rs
+++ b/crates/yuccatack_replication/src/committed.rs
@@ -30,7 +30,7 @@
         payload: Bytes,
     },
     /// Asks for the state as of `index`, to be answered with `store_snapshot`.
-    SnapshotWanted {
+    SnapshotRequested {
         /// The last entry that the state must include.
         index: LogIndex,
     },
--- a/crates/yuccatack_replication/src/handle.rs
+++ b/crates/yuccatack_replication/src/handle.rs
@@ -123,7 +123,7 @@
         self.cast(ActorMessage::Read(read));
     }
 
-    /// Answers [`Committed::SnapshotWanted`] with the state as of `index`.
+    /// Answers [`Committed::SnapshotRequested`] with the state as of `index`.
     pub fn store_snapshot(&self, index: LogIndex, payload: Bytes) {
         self.cast(ActorMessage::StoreSnapshot(index, payload));
     }
--- a/crates/yuccatack_replication/src/state/delivery.rs
+++ b/crates/yuccatack_replication/src/state/delivery.rs
@@ -75,7 +75,7 @@
         let behind = self.delivered.get().saturating_sub(held.get());
         if self.snapshot_wanted.is_none() && behind >= self.settings.snapshot_entry_count {
             self.snapshot_wanted = Some(self.delivered);
-            self.outputs.committed.push(Committed::SnapshotWanted { index: self.delivered });
+            self.outputs.committed.push(Committed::SnapshotRequested { index: self.delivered });
         }
     }
 }
--- a/crates/yuccatack_replication/tests/cluster/mod.rs
+++ b/crates/yuccatack_replication/tests/cluster/mod.rs
@@ -163,7 +163,7 @@
                 self.applied.clear();
                 self.snapshot = Some((index, payload));
             }
-            Committed::SnapshotWanted { index } => {
+            Committed::SnapshotRequested { index } => {
                 self.handle.store_snapshot(index, state_at(index, self.snapshot_bytes));
             }
             _ => {}
--- a/crates/yuccatack_replication/tests/simulation/clients.rs
+++ b/crates/yuccatack_replication/tests/simulation/clients.rs
@@ -32,7 +32,7 @@
                 process.count = count;
                 process.applied = index;
             }
-            Committed::SnapshotWanted { index } => {
+            Committed::SnapshotRequested { index } => {
                 let payload = Bytes::copy_from_slice(&(process.count as u64).to_le_bytes());
                 self.input(id, Input::StoreSnapshot { index, payload });
             }
