--- a/crates/yuccatack_agent/src/actor.rs
+++ b/crates/yuccatack_agent/src/actor.rs
@@ -100,7 +100,7 @@
                     None => return,
                 },
                 _ = probe_ticks.tick() => {
-                    self.table.forget(wall_clock());
+                    self.table.evict_expired(wall_clock());
                     self.probe();
                 }
             }
@@ -133,7 +133,7 @@
                 let _ = reply.send(self.table.running().collect());
             }
             AgentMessage::Leave { left } => {
-                self.table.leave();
+                self.table.start_draining();
                 self.report.leave();
                 self.publish();
                 let _ = left.send(());
--- a/crates/yuccatack_agent/src/service.rs
+++ b/crates/yuccatack_agent/src/service.rs
@@ -6,7 +6,7 @@
 use tokio_stream::Iter;
 use tonic::{Request, Response, Status, Streaming};
 use yuccatack_core::prelude::*;
-use yuccatack_requests::answer_check::{BodyCollector, BodySeal};
+use yuccatack_requests::answer_check::{BodyCollector, BodyTrailer};
 use yuccatack_requests::attempts::Resolution;
 use yuccatack_requests::generated::agent as wire;
 use yuccatack_requests::generated::agent::attempts_server::Attempts;
@@ -64,7 +64,7 @@
                     body.push(&chunk).map_err(invalid)?;
                 }
                 Some(wire::attempt_part::Part::End(end)) => {
-                    let seal = BodySeal::try_from(end).map_err(invalid)?;
+                    let seal = BodyTrailer::try_from(end).map_err(invalid)?;
                     content.body = body.finish(&seal).map_err(invalid)?;
                     return Ok((head, content));
                 }
--- a/crates/yuccatack_entry/src/balancer/actor.rs
+++ b/crates/yuccatack_entry/src/balancer/actor.rs
@@ -131,7 +131,7 @@
             BalancerMessage::Choose(request) => self.choose(request),
             BalancerMessage::Finished(target, feedback) => {
                 let now = self.now();
-                self.router.finished(&target, feedback, now);
+                self.router.record_feedback(&target, feedback, now);
                 self.serve_queues();
             }
         }
@@ -215,7 +215,7 @@
     ) {
         if let Err(Ok(target)) = reply.send(Ok(target)) {
             // The request ended while it waited.
-            self.router.finished(&target, Feedback::Neutral, now);
+            self.router.record_feedback(&target, Feedback::Neutral, now);
         }
     }
 
@@ -267,7 +267,7 @@
     /// A request with less than twice the typical answer time left is late: one that is started
     /// and not answered in time takes a slot and ends as unknown.
     fn serve_queue(&mut self, service: &ServiceName, queue: &mut FairQueue<ChooseRequest>) {
-        let typical = self.router.typical_latency(service);
+        let typical = self.router.mean_latency(service);
         let run_time = typical + typical;
         while self.router.may_choose(service, self.now()) {
             match queue.pop(self.now(), run_time) {
--- a/crates/yuccatack_entry/src/call.rs
+++ b/crates/yuccatack_entry/src/call.rs
@@ -7,7 +7,7 @@
 use yuccatack_requests::attempt::attempt_id;
 use yuccatack_requests::attempts::Resolution;
 use yuccatack_requests::claims::{
-    ClaimClient, ClaimCommand, ClaimState, ClaimedAttempt, ContentDigest, RequestKey,
+    ClaimClient, ClaimCommand, ClaimState, ClaimedAttempt, ContentDigest, IdempotencyKey,
 };
 use yuccatack_requests::dispatch::{
     ChoiceKind, Dispatch, DispatchCommand, DispatchEvent, DispatchSettings, Target,
@@ -52,7 +52,7 @@
 struct Call {
     context: CallContext,
     content: RequestContent,
-    key: Option<RequestKey>,
+    key: Option<IdempotencyKey>,
     dispatch: Dispatch,
     started: Instant,
     deadline: Duration,
@@ -72,7 +72,7 @@
 pub async fn run_call(
     context: CallContext,
     content: RequestContent,
-    key: Option<RequestKey>,
+    key: Option<IdempotencyKey>,
     deadline: Duration,
 ) -> Outcome {
     let organisation = content.organisation.clone();
@@ -96,7 +96,7 @@
 async fn run_dispatch(
     context: CallContext,
     content: RequestContent,
-    key: Option<RequestKey>,
+    key: Option<IdempotencyKey>,
     deadline: Duration,
 ) -> Outcome {
     // A request has few events at a time; the state machine waits for each command's event.
--- a/crates/yuccatack_entry/src/caller.rs
+++ b/crates/yuccatack_entry/src/caller.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use yuccatack_core::prelude::*;
-use yuccatack_requests::claims::RequestKey;
+use yuccatack_requests::claims::IdempotencyKey;
 use yuccatack_requests::prelude::*;
-use yuccatack_requests::wire::attempts::class_from_word;
+use yuccatack_requests::wire::attempts::priority_class_from_name;
 
 /// The time that a request may take when neither its caller nor the service's record states one.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
@@ -38,7 +38,7 @@
     /// The time that it may take.
     pub deadline: Option<Duration>,
     /// The key of a non-idempotent request.
-    pub key: Option<RequestKey>,
+    pub key: Option<IdempotencyKey>,
 }
 
 fn invalid(detail: &str) -> NotRun {
@@ -78,9 +78,11 @@
     }
 }
 
-fn key(headers: &HeaderMap, idempotent: bool) -> Result<Option<RequestKey>, NotRun> {
+fn key(headers: &HeaderMap, idempotent: bool) -> Result<Option<IdempotencyKey>, NotRun> {
     match text(headers, "yuccatack-key")? {
-        Some(text) => RequestKey::new(text).map(Some).map_err(|error| invalid(&error.to_string())),
+        Some(text) => {
+            IdempotencyKey::new(text).map(Some).map_err(|error| invalid(&error.to_string()))
+        }
         None if idempotent => Ok(None),
         None => Err(invalid("a request that is not idempotent needs the header yuccatack-key")),
     }
@@ -90,7 +92,7 @@
     let Some(word) = text(headers, "yuccatack-class")? else {
         return Ok(PriorityClass::default());
     };
-    class_from_word(word)
+    priority_class_from_name(word)
         .map_err(|_| invalid("yuccatack-class must be `urgent`, `standard` or `batch`"))
 }
 
--- a/crates/yuccatack_requests/src/answer_check.rs
+++ b/crates/yuccatack_requests/src/answer_check.rs
@@ -11,14 +11,14 @@
 
 /// Length and digest at the end of a body.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct BodySeal {
+pub struct BodyTrailer {
     /// The whole length.
     pub length_bytes: u64,
     /// The BLAKE3 digest of the whole body.
     pub digest: [u8; 32],
 }
 
-impl BodySeal {
+impl BodyTrailer {
     /// Seals a whole body.
     pub fn of(body: &[u8]) -> Self {
         Self { length_bytes: body.len() as u64, digest: *blake3::hash(body).as_bytes() }
@@ -96,7 +96,7 @@
     }
 
     /// Gives the body if it is exactly what was sealed.
-    pub fn finish(self, seal: &BodySeal) -> Result<Bytes, BodyCheckError> {
+    pub fn finish(self, seal: &BodyTrailer) -> Result<Bytes, BodyCheckError> {
         let found_bytes = self.buffer.len() as u64;
         if found_bytes != seal.length_bytes {
             return Err(BodyCheckError::WrongLength {
@@ -104,7 +104,7 @@
                 found_bytes,
             });
         }
-        if BodySeal::of(&self.buffer).digest != seal.digest {
+        if BodyTrailer::of(&self.buffer).digest != seal.digest {
             return Err(BodyCheckError::WrongDigest);
         }
         Ok(self.buffer.freeze())
@@ -132,7 +132,7 @@
     /// A piece of the body.
     Chunk(Bytes),
     /// The end of the answer.
-    End(BodySeal),
+    End(BodyTrailer),
     /// The attempt did not run.
     NotRun(AttemptId, NotRun),
     /// The attempt may have run.
@@ -208,7 +208,7 @@
         Ok(())
     }
 
-    fn finish(&mut self, seal: &BodySeal) -> Result<Resolution, BodyCheckError> {
+    fn finish(&mut self, seal: &BodyTrailer) -> Result<Resolution, BodyCheckError> {
         let head = self.head.take().ok_or(BodyCheckError::OutOfOrder)?;
         let body = std::mem::replace(&mut self.body, BodyCollector::new(0)).finish(seal)?;
         let answer = Answer { status: head.status, headers: head.headers, body };
--- a/crates/yuccatack_requests/src/attempts/state.rs
+++ b/crates/yuccatack_requests/src/attempts/state.rs
@@ -123,7 +123,7 @@
     }
 
     /// Refuses every new attempt from now on.
-    pub fn leave(&mut self) {
+    pub fn start_draining(&mut self) {
         self.leaving = true;
     }
 
@@ -232,7 +232,7 @@
         record.changed_at = now;
         self.ended_by_age.insert((now, attempt));
         self.answers_by_age.insert((now, attempt));
-        self.forget(now);
+        self.evict_expired(now);
     }
 
     /// Tells what became of an attempt; one that never arrived is barred for good.
@@ -279,12 +279,12 @@
         let resolution = self.record_resolution(&record);
         self.records.insert(attempt, record);
         self.barred_by_age.insert((now, attempt));
-        self.forget(now);
+        self.evict_expired(now);
         resolution
     }
 
     /// Drops answers and records beyond the bounds.
-    pub fn forget(&mut self, now: TimestampMs) {
+    pub fn evict_expired(&mut self, now: TimestampMs) {
         let oldest_answer = now - self.limits.answer_age;
         while let Some((ended_at, attempt)) = self.answers_by_age.first().copied() {
             let excess = self.answer_memory_bytes > self.limits.answer_memory_bytes;
--- a/crates/yuccatack_requests/src/claims/message.rs
+++ b/crates/yuccatack_requests/src/claims/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
 
-use super::key::RequestKey;
+use super::key::IdempotencyKey;
 
 /// A digest of service, path and body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
         /// Who asks.
         organisation: OrganisationName,
         /// The caller's key.
-        key: RequestKey,
+        key: IdempotencyKey,
         /// What is asked for.
         content: ContentDigest,
         /// The attempt that the claim shall permit.
@@ -77,7 +77,7 @@
         /// Who asked.
         organisation: OrganisationName,
         /// The caller's key.
-        key: RequestKey,
+        key: IdempotencyKey,
         /// The attempt that ended.
         attempt: AttemptId,
         /// [`ClaimState::Completed`] or [`ClaimState::Released`].
--- a/crates/yuccatack_requests/src/claims/mod.rs
+++ b/crates/yuccatack_requests/src/claims/mod.rs
@@ -8,7 +8,7 @@
 
 pub use client::{ClaimClient, ClaimMessage, claim_channel};
 pub use error::ClaimCallError;
-pub use key::{InvalidKeyError, RequestKey};
+pub use key::{IdempotencyKey, InvalidIdempotencyKeyError};
 pub use message::{
     ClaimCommand, ClaimOutcome, ClaimRefusal, ClaimState, ClaimedAttempt, ContentDigest,
 };
--- a/crates/yuccatack_requests/src/claims/state.rs
+++ b/crates/yuccatack_requests/src/claims/state.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
 
-use super::key::RequestKey;
+use super::key::IdempotencyKey;
 use super::message::{
     ClaimCommand, ClaimOutcome, ClaimRefusal, ClaimState, ClaimedAttempt, ContentDigest,
 };
@@ -32,7 +32,7 @@
     }
 }
 
-type ClaimKey = (OrganisationName, RequestKey);
+type ClaimKey = (OrganisationName, IdempotencyKey);
 
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 struct Claim {
--- a/crates/yuccatack_requests/src/routing/state.rs
+++ b/crates/yuccatack_requests/src/routing/state.rs
@@ -128,7 +128,7 @@
     }
 
     /// The mean of the answer times of the service's minions.
-    pub fn typical_latency(&self, service: &ServiceName) -> DurationMs {
+    pub fn mean_latency(&self, service: &ServiceName) -> DurationMs {
         let sum_us: u64 = self.serving(service).map(|minion| minion.latency_us).sum();
         let count = self.serving(service).count().max(1) as u64;
         DurationMs::new(sum_us / count / 1000)
@@ -141,7 +141,7 @@
     }
 
     /// Chooses a minion and counts the attempt as in flight until
-    /// [`finished`](Self::finished) is told of it.
+    /// [`record_feedback`](Self::record_feedback) is told of it.
     pub fn choose(
         &mut self,
         service: &ServiceName,
@@ -238,7 +238,7 @@
     }
 
     /// Learns how an attempt ended.
-    pub fn finished(&mut self, target: &Target, feedback: Feedback, now: TimestampMs) {
+    pub fn record_feedback(&mut self, target: &Target, feedback: Feedback, now: TimestampMs) {
         let may_eject = self.may_eject_another(&target.node);
         let settings = self.settings;
         let Some(minion) = self.minions.get_mut(&target.node) else {
--- a/crates/yuccatack_requests/src/wire/attempts.rs
+++ b/crates/yuccatack_requests/src/wire/attempts.rs
@@ -6,7 +6,7 @@
 use yuccatack_core::prelude::*;
 
 use super::error::WireError;
-use crate::answer_check::{AnswerHead, AnswerPart, BodySeal};
+use crate::answer_check::{AnswerHead, AnswerPart, BodyTrailer};
 use crate::attempt::{AttemptHead, RequestContent};
 use crate::attempts::Resolution;
 use crate::generated::agent as wire;
@@ -34,7 +34,7 @@
 }
 
 /// The class that a word names.
-pub fn class_from_word(word: &str) -> Result<PriorityClass, WireError> {
+pub fn priority_class_from_name(word: &str) -> Result<PriorityClass, WireError> {
     let mut all = PriorityClass::ALL.into_iter();
     all.find(|class| class_word(*class) == word).ok_or(WireError::new("class"))
 }
@@ -51,8 +51,8 @@
     }
 }
 
-impl From<&BodySeal> for wire::BodyEnd {
-    fn from(seal: &BodySeal) -> Self {
+impl From<&BodyTrailer> for wire::BodyEnd {
+    fn from(seal: &BodyTrailer) -> Self {
         Self {
             length_bytes: seal.length_bytes,
             blake3_digest: Bytes::copy_from_slice(&seal.digest),
@@ -60,7 +60,7 @@
     }
 }
 
-impl TryFrom<wire::BodyEnd> for BodySeal {
+impl TryFrom<wire::BodyEnd> for BodyTrailer {
     type Error = WireError;
 
     fn try_from(end: wire::BodyEnd) -> Result<Self, Self::Error> {
@@ -94,7 +94,7 @@
     };
     let mut parts = vec![wire::attempt_part::Part::Head(wire_head)];
     parts.extend(body_chunks(&content.body).map(wire::attempt_part::Part::Chunk));
-    parts.push(wire::attempt_part::Part::End((&BodySeal::of(&content.body)).into()));
+    parts.push(wire::attempt_part::Part::End((&BodyTrailer::of(&content.body)).into()));
     parts.into_iter().map(|part| wire::AttemptPart { part: Some(part) }).collect()
 }
 
@@ -111,7 +111,7 @@
         organisation: OrganisationName::new(&head.organisation)
             .map_err(|_| WireError::new("organisation"))?,
         service: ServiceName::new(&head.service).map_err(|_| WireError::new("service"))?,
-        class: class_from_word(&head.class)?,
+        class: priority_class_from_name(&head.class)?,
         method: Arc::from(head.method),
         path: Arc::from(head.path),
         headers: head.headers.into_iter().map(Header::from).collect(),
@@ -140,7 +140,7 @@
     parts.extend(
         body_chunks(&answer.body).map(|chunk| answer_part(wire::answer_part::Part::Chunk(chunk))),
     );
-    let end = (&BodySeal::of(&answer.body)).into();
+    let end = (&BodyTrailer::of(&answer.body)).into();
     parts.push(answer_part(wire::answer_part::Part::End(end)));
     parts
 }
--- a/crates/yuccatack_requests/src/wire/claims.rs
+++ b/crates/yuccatack_requests/src/wire/claims.rs
@@ -5,7 +5,8 @@
 
 use super::error::WireError;
 use crate::claims::{
-    ClaimCommand, ClaimOutcome, ClaimRefusal, ClaimState, ClaimedAttempt, ContentDigest, RequestKey,
+    ClaimCommand, ClaimOutcome, ClaimRefusal, ClaimState, ClaimedAttempt, ContentDigest,
+    IdempotencyKey,
 };
 use crate::generated::claims as wire;
 
@@ -16,8 +17,8 @@
     OrganisationName::new(text).map_err(|_| WireError::new("organisation"))
 }
 
-fn key(text: &str) -> Result<RequestKey, WireError> {
-    RequestKey::new(text).map_err(|_| WireError::new("key"))
+fn key(text: &str) -> Result<IdempotencyKey, WireError> {
+    IdempotencyKey::new(text).map_err(|_| WireError::new("key"))
 }
 
 fn attempt_id(bytes: &[u8]) -> Result<AttemptId, WireError> {
--- a/crates/yuccatack_requests/tests/claim_table.rs
+++ b/crates/yuccatack_requests/tests/claim_table.rs
@@ -5,7 +5,7 @@
 use yuccatack_core::prelude::*;
 use yuccatack_requests::claims::{
     ClaimCommand, ClaimLimits, ClaimOutcome, ClaimRefusal, ClaimState, ClaimTable, ClaimedAttempt,
-    ContentDigest, RequestKey,
+    ContentDigest, IdempotencyKey,
 };
 
 const NOW: TimestampMs = TimestampMs::new(1_767_225_600_000);
@@ -24,7 +24,7 @@
 fn claim(key: &str, content: &str, number: u8) -> ClaimCommand {
     ClaimCommand::Claim {
         organisation: OrganisationName::new("lender").unwrap(),
-        key: RequestKey::new(key).unwrap(),
+        key: IdempotencyKey::new(key).unwrap(),
         content: ContentDigest::of(&[content.as_bytes()]),
         attempt: attempt(number),
     }
@@ -33,7 +33,7 @@
 fn settle(key: &str, number: u8, state: ClaimState) -> ClaimCommand {
     ClaimCommand::Settle {
         organisation: OrganisationName::new("lender").unwrap(),
-        key: RequestKey::new(key).unwrap(),
+        key: IdempotencyKey::new(key).unwrap(),
         attempt: attempt(number).attempt,
         state,
     }
@@ -104,8 +104,8 @@
 #[test]
 fn key_form() {
     for text in ["", "-", "5", "5-", "-a", "a-b", "5 -a", "99999999999999999999999-a", "5-ä"] {
-        assert!(RequestKey::new(text).is_err(), "{text}");
+        assert!(IdempotencyKey::new(text).is_err(), "{text}");
     }
-    assert!(RequestKey::new(&format!("5-{}", "a".repeat(127))).is_err());
-    assert_eq!(RequestKey::new("5-a-b").unwrap().issued_at(), TimestampMs::new(5));
+    assert!(IdempotencyKey::new(&format!("5-{}", "a".repeat(127))).is_err());
+    assert_eq!(IdempotencyKey::new("5-a-b").unwrap().issued_at(), TimestampMs::new(5));
 }
--- a/crates/yuccatack_requests/tests/router_choice.rs
+++ b/crates/yuccatack_requests/tests/router_choice.rs
@@ -68,7 +68,7 @@
         router.choose(&service(), &[], NOW).unwrap();
     }
     assert_eq!(router.choose(&service(), &[], NOW).unwrap_err().reason, NotRunReason::NoSlot);
-    router.finished(&target, Feedback::Completed { latency_us: 500 }, NOW);
+    router.record_feedback(&target, Feedback::Completed { latency_us: 500 }, NOW);
     router.choose(&service(), &[], NOW).unwrap();
 }
 
@@ -81,7 +81,7 @@
     for _ in 0..100 {
         let target = router.choose(&service(), &[], NOW).unwrap();
         *chosen.entry(target.node.to_string()).or_insert(0) += 1;
-        router.finished(&target, Feedback::Neutral, NOW);
+        router.record_feedback(&target, Feedback::Neutral, NOW);
     }
     assert!(chosen["idle"] >= 70, "{chosen:?}");
 }
@@ -95,7 +95,7 @@
     let good = NodeName::new("good").unwrap();
     for _ in 0..3 {
         let target = router.choose(&service(), std::slice::from_ref(&good), NOW).unwrap();
-        router.finished(&target, Feedback::Failed, NOW);
+        router.record_feedback(&target, Feedback::Failed, NOW);
     }
     for _ in 0..7 {
         assert_eq!(router.choose(&service(), &[], NOW).unwrap().node, good);
@@ -104,7 +104,7 @@
     let probe = router.choose(&service(), &[], later).unwrap();
     assert_eq!(probe.node.as_str(), "bad");
     assert_eq!(router.choose(&service(), &[], later).unwrap().node, good);
-    router.finished(&probe, Feedback::Completed { latency_us: 900 }, later);
+    router.record_feedback(&probe, Feedback::Completed { latency_us: 900 }, later);
     assert_eq!(router.choose(&service(), &[], later).unwrap().node.as_str(), "bad");
 }
 
@@ -116,7 +116,7 @@
     let targets: Vec<Target> = loads.iter().map(|load| load.target.clone()).collect();
     let mut router = router(loads);
     for target in targets.iter().cycle().take(40) {
-        router.finished(target, Feedback::Failed, NOW);
+        router.record_feedback(target, Feedback::Failed, NOW);
     }
     let mut left = 0;
     while router.choose(&service(), &[], NOW).is_ok() {
--- a/crates/yuccatack_requests/tests/wire_forms.rs
+++ b/crates/yuccatack_requests/tests/wire_forms.rs
@@ -9,7 +9,8 @@
 use yuccatack_requests::answer_check::{AnswerCollector, AnswerPart};
 use yuccatack_requests::attempts::Resolution;
 use yuccatack_requests::claims::{
-    ClaimCommand, ClaimOutcome, ClaimRefusal, ClaimState, ClaimedAttempt, ContentDigest, RequestKey,
+    ClaimCommand, ClaimOutcome, ClaimRefusal, ClaimState, ClaimedAttempt, ContentDigest,
+    IdempotencyKey,
 };
 use yuccatack_requests::generated::claims as wire;
 use yuccatack_requests::prelude::*;
@@ -29,7 +30,7 @@
 #[test]
 fn claim_commands() {
     let organisation = OrganisationName::new("lender").unwrap();
-    let key = RequestKey::new("5-a").unwrap();
+    let key = IdempotencyKey::new("5-a").unwrap();
     let claim = ClaimCommand::Claim {
         organisation: organisation.clone(),
         key: key.clone(),
--- a/crates/yuccatack_requests/tests/world/callers.rs
+++ b/crates/yuccatack_requests/tests/world/callers.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use yuccatack_core::prelude::*;
 use yuccatack_requests::attempt::attempt_id;
-use yuccatack_requests::claims::RequestKey;
+use yuccatack_requests::claims::IdempotencyKey;
 use yuccatack_requests::dispatch::{Dispatch, DispatchCommand, DispatchEvent};
 use yuccatack_requests::prelude::*;
 
@@ -18,7 +18,7 @@
 
 pub struct Caller {
     pub organisation: OrganisationName,
-    pub key: RequestKey,
+    pub key: IdempotencyKey,
     pub body: Vec<u8>,
     pub idempotent: bool,
     pub sending_count: usize,
@@ -32,7 +32,7 @@
     pub fn new(index: usize, idempotent: bool, at_ms: u64) -> Self {
         Self {
             organisation: OrganisationName::new(&format!("org-{}", index % 3)).unwrap(),
-            key: RequestKey::new(&format!("{at_ms}-{index}")).unwrap(),
+            key: IdempotencyKey::new(&format!("{at_ms}-{index}")).unwrap(),
             body: format!("content of caller {index}").into_bytes(),
             idempotent,
             sending_count: 0,
