--- a/crates/yuccatack_requests/src/answer_check.rs
+++ b/crates/yuccatack_requests/src/answer_check.rs
@@ -1,4 +1,5 @@
-//! Checks of streamed bodies: only whole content of the right attempt is passed on.
+//! Validation of streamed bodies and answers: only complete content of the expected attempt is
+//! passed on.
 
 use std::sync::Arc;
 
@@ -9,61 +10,61 @@
 use crate::attempts::Resolution;
 use crate::outcome::{Answer, Header, NotRun, Outcome, Unknown};
 
-/// Length and digest at the end of a body.
+/// Length and digest that follow a body, so that truncation and corruption are detected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BodyTrailer {
-    /// The whole length.
+    /// Length of the complete body.
     pub length_bytes: u64,
-    /// The BLAKE3 digest of the whole body.
+    /// BLAKE3 digest of the complete body.
     pub digest: [u8; 32],
 }
 
 impl BodyTrailer {
-    /// Seals a whole body.
+    /// Computes the trailer of a complete body.
     pub fn of(body: &[u8]) -> Self {
         Self { length_bytes: body.len() as u64, digest: *blake3::hash(body).as_bytes() }
     }
 }
 
-/// A stream that is not the whole content expected.
+/// Failed validation of a streamed body or answer.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum BodyCheckError {
-    /// The answer is for another attempt.
+    /// The answer belongs to another attempt, for example because streams were mixed up.
     #[snafu(display(
         "the answer belongs to attempt {found}, not {expected}; open a new connection"
     ))]
     OtherAttempt {
-        /// The attempt that was asked for.
+        /// Attempt that was executed or resolved.
         expected: AttemptId,
-        /// The attempt in the answer.
+        /// Attempt named in the answer.
         found: AttemptId,
     },
-    /// The answer is for another organisation.
+    /// The answer belongs to another organisation and must not reach this caller.
     #[snafu(display("the answer belongs to organisation {found}, not {expected}"))]
     OtherOrganisation {
-        /// The organisation that asked.
+        /// Organisation that sent the request.
         expected: OrganisationName,
-        /// The organisation in the answer.
+        /// Organisation named in the answer.
         found: Box<str>,
     },
-    /// The body is longer than the limit.
+    /// The body exceeds the configured limit.
     #[snafu(display("the body is longer than {limit_bytes} bytes; raise `body_limit_bytes`"))]
     TooLong {
-        /// The limit.
+        /// Limit from the setting `body_limit_bytes`.
         limit_bytes: u64,
     },
-    /// The length differs from the sealed one.
+    /// The length differs from the one in the trailer.
     #[snafu(display("the body has {found_bytes} bytes instead of {expected_bytes}"))]
     WrongLength {
-        /// The sealed length.
+        /// Length stated in the trailer.
         expected_bytes: u64,
-        /// The received length.
+        /// Number of bytes received.
         found_bytes: u64,
     },
-    /// The digest differs from the sealed one.
+    /// The digest differs from the one in the trailer.
     #[snafu(display("the digest of the body differs from the sealed one"))]
     WrongDigest,
-    /// The parts are missing or out of order.
+    /// A part is missing or arrived out of order.
     #[snafu(display("the parts of the body are out of order or missing"))]
     OutOfOrder,
 }
@@ -76,12 +77,12 @@
 }
 
 impl BodyCollector {
-    /// Collects at most `limit_bytes`.
+    /// Creates a collector that accepts at most `limit_bytes`.
     pub fn new(limit_bytes: u64) -> Self {
         Self { limit_bytes, buffer: BytesMut::new() }
     }
 
-    /// Adds the next chunk.
+    /// Appends the next chunk, or fails if the body would exceed the limit.
     pub fn push(&mut self, chunk: &[u8]) -> Result<(), BodyCheckError> {
         if (self.buffer.len() + chunk.len()) as u64 > self.limit_bytes {
             return Err(BodyCheckError::TooLong { limit_bytes: self.limit_bytes });
@@ -90,58 +91,58 @@
         Ok(())
     }
 
-    /// Gives what was collected, when the end is known by other means than a seal.
+    /// Returns the collected bytes, for bodies whose end is not marked by a trailer.
     pub fn into_body(self) -> Bytes {
         self.buffer.freeze()
     }
 
-    /// Gives the body if it is exactly what was sealed.
-    pub fn finish(self, seal: &BodyTrailer) -> Result<Bytes, BodyCheckError> {
+    /// Returns the body if its length and digest match the trailer.
+    pub fn finish(self, trailer: &BodyTrailer) -> Result<Bytes, BodyCheckError> {
         let found_bytes = self.buffer.len() as u64;
-        if found_bytes != seal.length_bytes {
+        if found_bytes != trailer.length_bytes {
             return Err(BodyCheckError::WrongLength {
-                expected_bytes: seal.length_bytes,
+                expected_bytes: trailer.length_bytes,
                 found_bytes,
             });
         }
-        if BodyTrailer::of(&self.buffer).digest != seal.digest {
+        if BodyTrailer::of(&self.buffer).digest != trailer.digest {
             return Err(BodyCheckError::WrongDigest);
         }
         Ok(self.buffer.freeze())
     }
 }
 
-/// The head of an answer on its way back.
+/// First part of a streamed answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AnswerHead {
-    /// The attempt that it answers.
+    /// Attempt that the answer belongs to.
     pub attempt: AttemptId,
-    /// The organisation that asked.
+    /// Organisation that sent the request.
     pub organisation: Box<str>,
-    /// The HTTP status.
+    /// HTTP status code of the minion's response.
     pub status: u16,
-    /// The headers.
+    /// Headers of the minion's response.
     pub headers: Vec<Header>,
 }
 
-/// A part of an agent's account of an attempt.
+/// Part of the stream in which an agent reports the resolution of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerPart {
-    /// The head of an answer.
+    /// First part of an answer; body chunks and a trailer follow.
     Head(AnswerHead),
-    /// A piece of the body.
+    /// Next section of the body.
     Chunk(Bytes),
-    /// The end of the answer.
+    /// Last part of an answer.
     End(BodyTrailer),
-    /// The attempt did not run.
+    /// Only part if the attempt did not run.
     NotRun(AttemptId, NotRun),
-    /// The attempt may have run.
+    /// Only part if the attempt may have run.
     Unknown(AttemptId, Unknown),
-    /// The attempt runs.
+    /// Only part if the attempt is still running.
     Running(AttemptId),
 }
 
-/// Puts an account together and checks that it is the caller's own and whole.
+/// Assembles a resolution from its parts and checks that it is complete and belongs to the caller.
 #[derive(Debug)]
 pub struct AnswerCollector {
     expected_attempt: AttemptId,
@@ -151,7 +152,7 @@
 }
 
 impl AnswerCollector {
-    /// Expects the account of `attempt` of `organisation`.
+    /// Creates a collector for the resolution of `attempt`, sent by `organisation`.
     pub fn new(attempt: AttemptId, organisation: OrganisationName, limit_bytes: u64) -> Self {
         Self {
             expected_attempt: attempt,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Takes the next part, and gives the account once it is whole.
+    /// Adds the next part; returns the resolution once it is complete.
     pub fn push(&mut self, part: AnswerPart) -> Result<Option<Resolution>, BodyCheckError> {
         match part {
             AnswerPart::Head(head) => {
@@ -175,7 +176,7 @@
                 self.body.push(&chunk)?;
                 Ok(None)
             }
-            AnswerPart::End(seal) => self.finish(&seal).map(Some),
+            AnswerPart::End(trailer) => self.finish(&trailer).map(Some),
             AnswerPart::NotRun(attempt, not_run) => {
                 self.check_attempt(attempt)?;
                 Ok(Some(Resolution::NotRun(not_run)))
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Checks the attempt of a first part.
+    /// Checks that a first part names the expected attempt and that no head came before.
     fn check_attempt(&self, found: AttemptId) -> Result<(), BodyCheckError> {
         snafu::ensure!(self.head.is_none(), OutOfOrderSnafu);
         let expected = self.expected_attempt;
@@ -208,9 +209,9 @@
         Ok(())
     }
 
-    fn finish(&mut self, seal: &BodyTrailer) -> Result<Resolution, BodyCheckError> {
+    fn finish(&mut self, trailer: &BodyTrailer) -> Result<Resolution, BodyCheckError> {
         let head = self.head.take().ok_or(BodyCheckError::OutOfOrder)?;
-        let body = std::mem::replace(&mut self.body, BodyCollector::new(0)).finish(seal)?;
+        let body = std::mem::replace(&mut self.body, BodyCollector::new(0)).finish(trailer)?;
         let answer = Answer { status: head.status, headers: head.headers, body };
         Ok(Resolution::Ended(Arc::new(Outcome::Completed(answer))))
     }
--- a/crates/yuccatack_requests/src/attempt.rs
+++ b/crates/yuccatack_requests/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to run a request, as entries address it to agents.
+//! Content and addressing of one attempt to run a request, sent by an entry to an agent.
 
 use std::sync::Arc;
 
@@ -7,35 +7,35 @@
 
 use crate::outcome::Header;
 
-/// What the caller asked for; shared by all attempts of one request.
+/// Content of a caller's request, shared by all of its attempts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestContent {
-    /// Who asks.
+    /// Organisation that sent the request.
     pub organisation: OrganisationName,
-    /// The pool of minions that shall answer.
+    /// Service whose minions may run the request.
     pub service: ServiceName,
-    /// How urgent it is.
+    /// Priority class, used for admission and queueing.
     pub class: PriorityClass,
-    /// The HTTP method for the minion.
+    /// HTTP method sent to the minion.
     pub method: Arc<str>,
-    /// The HTTP path for the minion, with its query.
+    /// HTTP path sent to the minion, including the query.
     pub path: Arc<str>,
-    /// The headers for the minion.
+    /// Headers sent to the minion.
     pub headers: Vec<Header>,
-    /// Whether running it twice harms nobody.
+    /// `true` if the request may safely run more than once.
     pub idempotent: bool,
-    /// The whole body.
+    /// Complete request body.
     pub body: Bytes,
 }
 
-/// The addressing of one attempt.
+/// Identity and addressing of one attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AttemptHead {
-    /// The attempt.
+    /// Identifier that carries the issue time; see [`attempt_id`].
     pub attempt: AttemptId,
-    /// The only incarnation of the agent that may run it.
+    /// Incarnation of the agent that the attempt is addressed to; no other one may run it.
     pub incarnation: Incarnation,
-    /// The time left when it was sent.
+    /// Time left until the request's deadline when the attempt was sent.
     pub remaining_deadline: DurationMs,
 }
 
@@ -43,8 +43,8 @@
 
 /// Builds an attempt identifier that carries its issue time.
 ///
-/// An agent that has forgotten old attempts can tell by the time whether an attempt may be one of
-/// them, and then never claims that it was not received.
+/// An agent that has evicted old attempts uses the issue time to decide whether an unknown attempt
+/// may be one of them, so that it never reports such an attempt as not received.
 pub fn attempt_id(issued_at: TimestampMs, random: [u8; 10]) -> AttemptId {
     let mut bytes = [0; 16];
     bytes[..ISSUE_TIME_LENGTH_BYTES].copy_from_slice(&issued_at.get().to_be_bytes()[2..]);
@@ -52,7 +52,7 @@
     AttemptId::new(bytes)
 }
 
-/// The issue time that [`attempt_id`] wrote.
+/// Returns the issue time that [`attempt_id`] encoded.
 pub fn attempt_issued_at(attempt: AttemptId) -> TimestampMs {
     let mut bytes = [0; 8];
     bytes[2..].copy_from_slice(&attempt.as_bytes()[..ISSUE_TIME_LENGTH_BYTES]);
--- a/crates/yuccatack_requests/src/attempts/message.rs
+++ b/crates/yuccatack_requests/src/attempts/message.rs
@@ -1,29 +1,29 @@
-//! What the attempt table answers.
+//! Decisions and resolutions that the attempt table returns.
 
 use std::sync::Arc;
 
 use crate::outcome::{NotRun, Outcome, Unknown};
 
-/// What an agent does with an attempt that arrives.
+/// Decision about an attempt that arrives at an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartDecision {
-    /// Run it; it now holds a slot.
+    /// The attempt runs and holds a slot.
     Run,
-    /// Refuse it; it will never run here.
+    /// The attempt is refused and will never run on this agent.
     Refuse(NotRun),
-    /// It arrived before; tell what became of it and run nothing.
+    /// The attempt arrived before; the agent returns its resolution and runs nothing.
     Known(Resolution),
 }
 
-/// What became of an attempt.
+/// State or outcome of an attempt, as reported by its agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Resolution {
-    /// It never ran and never will.
+    /// The attempt never ran and never will.
     NotRun(NotRun),
-    /// It runs now.
+    /// The attempt is still running.
     Running,
-    /// It ended with this outcome.
+    /// The attempt ended with this outcome.
     Ended(Arc<Outcome>),
-    /// It may have run, and nothing more can be known.
+    /// The attempt may have run, and its outcome can no longer be determined.
     Unknown(Unknown),
 }
--- a/crates/yuccatack_requests/src/attempts/mod.rs
+++ b/crates/yuccatack_requests/src/attempts/mod.rs
@@ -1,4 +1,4 @@
-//! The attempts that one incarnation of an agent has received, barred or answered.
+//! Attempts that one incarnation of an agent has received, barred or answered.
 
 mod message;
 mod state;
--- a/crates/yuccatack_requests/src/attempts/state.rs
+++ b/crates/yuccatack_requests/src/attempts/state.rs
@@ -1,4 +1,4 @@
-//! The table of attempts, tied to one incarnation of an agent.
+//! Table of the attempts that one incarnation of an agent knows.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,18 +9,18 @@
 use crate::attempt::attempt_issued_at;
 use crate::outcome::{NotRun, NotRunReason, Outcome, Unknown, UnknownReason};
 
-/// Bounds of the table.
+/// Limits of the attempt table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AttemptLimits {
-    /// The requests that the minion runs at once.
+    /// Maximum number of requests that the minion runs concurrently.
     pub slot_count: usize,
-    /// The most memory that remembered answers occupy.
+    /// Maximum memory of the stored answers.
     pub answer_memory_bytes: u64,
-    /// How long answers are remembered.
+    /// Retention period of answers.
     pub answer_age: DurationMs,
-    /// The most attempts, barred ones included, that are kept.
+    /// Maximum number of records, including barred attempts.
     pub record_count: usize,
-    /// How far an attempt's issue time may lie ahead of this node's clock.
+    /// Tolerance for an attempt's issue time that lies ahead of this node's clock.
     pub clock_skew: DurationMs,
 }
 
@@ -40,8 +40,9 @@
 enum RecordState {
     Running,
     Ended(Arc<Outcome>),
-    /// Ended, and the answer was dropped to bound memory.
-    Forgotten,
+    /// The attempt ended; its answer was evicted because of its age or the memory limit.
+    AnswerEvicted,
+    /// The attempt was refused, or resolved before it arrived, and can never run.
     Barred,
 }
 
@@ -52,25 +53,25 @@
     changed_at: TimestampMs,
 }
 
-/// Decides which attempts run, and remembers what became of them.
+/// Decides which attempts run and keeps their resolutions.
 #[derive(Clone, Debug)]
 pub struct AttemptTable {
     incarnation: Incarnation,
     limits: AttemptLimits,
     records: FastHashMap<AttemptId, AttemptRecord>,
-    /// Ended attempts, oldest first.
+    /// Ended attempts, ordered by the time of their end.
     ended_by_age: BTreeSet<(TimestampMs, AttemptId)>,
-    /// Barred attempts, oldest first. They are dropped before ended ones, so that a flood of
-    /// refusals does not push out answers.
+    /// Barred attempts, oldest first. They are evicted before ended attempts, so that a burst of
+    /// refusals does not displace answers.
     barred_by_age: BTreeSet<(TimestampMs, AttemptId)>,
-    /// Ended attempts whose answers are still held, oldest first.
+    /// Ended attempts whose answers are still stored, oldest first.
     answers_by_age: BTreeSet<(TimestampMs, AttemptId)>,
     answer_memory_bytes: u64,
     running_count: usize,
-    /// The newest issue time among attempts whose records were dropped. Unknown attempts up to
-    /// this time may be among the dropped ones.
-    forgotten_until: Option<TimestampMs>,
-    leaving: bool,
+    /// Newest issue time among attempts whose records were evicted. An unknown attempt issued at or
+    /// before this time may be one of them.
+    evicted_until: Option<TimestampMs>,
+    draining: bool,
 }
 
 fn refuse(reason: NotRunReason, retry_after_ms: u64, detail: &str) -> StartDecision {
@@ -85,7 +86,7 @@
 }
 
 impl AttemptTable {
-    /// An empty table of a new incarnation.
+    /// Creates an empty table for a new incarnation.
     pub fn new(incarnation: Incarnation, limits: AttemptLimits) -> Self {
         Self {
             incarnation,
@@ -96,46 +97,46 @@
             answers_by_age: BTreeSet::new(),
             answer_memory_bytes: 0,
             running_count: 0,
-            forgotten_until: None,
-            leaving: false,
+            evicted_until: None,
+            draining: false,
         }
     }
 
-    /// The attempts that run now.
+    /// Returns the number of running attempts.
     pub fn running_count(&self) -> usize {
         self.running_count
     }
 
-    /// The attempts that run now, in no particular order.
+    /// Returns the running attempts in arbitrary order.
     pub fn running(&self) -> impl Iterator<Item = AttemptId> {
         let running = |record: &AttemptRecord| matches!(record.state, RecordState::Running);
         self.records.iter().filter(move |(_, record)| running(record)).map(|(attempt, _)| *attempt)
     }
 
-    /// The attempts that are kept in any state.
+    /// Returns the number of records in any state.
     pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// The memory that remembered answers occupy.
+    /// Returns the memory that the stored answers occupy.
     pub fn answer_memory_bytes(&self) -> u64 {
         self.answer_memory_bytes
     }
 
-    /// Refuses every new attempt from now on.
+    /// Makes the table refuse every new attempt.
     pub fn start_draining(&mut self) {
-        self.leaving = true;
+        self.draining = true;
     }
 
-    fn may_be_forgotten(&self, attempt: AttemptId) -> bool {
-        self.forgotten_until.is_some_and(|until| attempt_issued_at(attempt) <= until)
+    fn may_be_evicted(&self, attempt: AttemptId) -> bool {
+        self.evicted_until.is_some_and(|until| attempt_issued_at(attempt) <= until)
     }
 
     fn record_resolution(&self, record: &AttemptRecord) -> Resolution {
         match &record.state {
             RecordState::Running => Resolution::Running,
             RecordState::Ended(outcome) => Resolution::Ended(Arc::clone(outcome)),
-            RecordState::Forgotten => Resolution::Unknown(Unknown::new(
+            RecordState::AnswerEvicted => Resolution::Unknown(Unknown::new(
                 UnknownReason::AnswerForgotten,
                 "the request ran and its answer is no longer remembered; check its effect before \
                  sending it under a new key",
@@ -148,18 +149,18 @@
         }
     }
 
-    fn forgotten() -> Resolution {
+    fn evicted_resolution() -> Resolution {
         Resolution::Unknown(Unknown::new(
             UnknownReason::AnswerForgotten,
             "the attempt's issue time is outside what this agent remembers",
         ))
     }
 
-    fn refusal(&self, fresh: bool) -> Option<NotRun> {
-        if self.leaving {
+    fn refusal(&self, view_fresh: bool) -> Option<NotRun> {
+        if self.draining {
             return Some(NotRun::retryable(NotRunReason::Leaving, 0, "the minion leaves"));
         }
-        if !fresh {
+        if !view_fresh {
             return Some(NotRun::retryable(
                 NotRunReason::StaleView,
                 1_000,
@@ -176,14 +177,14 @@
         None
     }
 
-    /// Decides whether a whole attempt that arrived runs. `fresh` tells whether the node's view is
-    /// confirmed.
+    /// Decides whether a completely received attempt runs. `view_fresh` is `true` if the node's
+    /// view was confirmed recently.
     pub fn start(
         &mut self,
         attempt: AttemptId,
         incarnation: Incarnation,
         organisation: &OrganisationName,
-        fresh: bool,
+        view_fresh: bool,
         now: TimestampMs,
     ) -> StartDecision {
         if incarnation != self.incarnation {
@@ -192,8 +193,8 @@
         if let Some(record) = self.records.get(&attempt) {
             return StartDecision::Known(self.record_resolution(record));
         }
-        if self.may_be_forgotten(attempt) {
-            return StartDecision::Known(Self::forgotten());
+        if self.may_be_evicted(attempt) {
+            return StartDecision::Known(Self::evicted_resolution());
         }
         if attempt_issued_at(attempt) > now + self.limits.clock_skew {
             return refuse(
@@ -202,13 +203,16 @@
                 "the attempt's issue time lies in the future; correct the entry's clock",
             );
         }
-        if let Some(refusal) = self.refusal(fresh) {
-            // A refused attempt is barred, so that a second copy of it cannot run later.
+        if let Some(refusal) = self.refusal(view_fresh) {
+            // Bars the refused attempt, so that a duplicate of it cannot run later.
             self.bar(attempt, organisation, now);
             return StartDecision::Refuse(refusal);
         }
         self.running_count += 1;
-        assert!(self.running_count <= self.limits.slot_count, "more attempts run than slots");
+        assert!(
+            self.running_count <= self.limits.slot_count,
+            "more attempts are running than the minion has slots"
+        );
         let record = AttemptRecord {
             organisation: organisation.clone(),
             state: RecordState::Running,
@@ -218,7 +222,7 @@
         StartDecision::Run
     }
 
-    /// Records how a running attempt ended and frees its slot.
+    /// Stores the outcome of a running attempt and frees its slot.
     pub fn finish(&mut self, attempt: AttemptId, outcome: Arc<Outcome>, now: TimestampMs) {
         let Some(record) = self.records.get_mut(&attempt) else {
             return;
@@ -235,7 +239,7 @@
         self.evict_expired(now);
     }
 
-    /// Tells what became of an attempt; one that never arrived is barred for good.
+    /// Returns the resolution of an attempt; one that never arrived is barred permanently.
     pub fn resolve(
         &mut self,
         attempt: AttemptId,
@@ -251,20 +255,20 @@
         }
         if let Some(record) = self.records.get(&attempt) {
             if record.organisation != *organisation {
-                return Self::forgotten();
+                return Self::evicted_resolution();
             }
             return self.record_resolution(record);
         }
-        // A bar with an issue time in the future would, once dropped, make every attempt up to that
-        // time look forgotten.
+        // A barred record with a future issue time would move `evicted_until` there once evicted,
+        // and every attempt issued before that time would resolve as unknown.
         let from_future = attempt_issued_at(attempt) > now + self.limits.clock_skew;
-        if from_future || self.may_be_forgotten(attempt) {
-            return Self::forgotten();
+        if from_future || self.may_be_evicted(attempt) {
+            return Self::evicted_resolution();
         }
         self.bar(attempt, organisation, now)
     }
 
-    /// Records that an attempt can never run.
+    /// Adds a record that prevents the attempt from ever running.
     fn bar(
         &mut self,
         attempt: AttemptId,
@@ -283,43 +287,43 @@
         resolution
     }
 
-    /// Drops answers and records beyond the bounds.
+    /// Evicts answers past their retention period or over the memory limit, and excess records.
     pub fn evict_expired(&mut self, now: TimestampMs) {
         let oldest_answer = now - self.limits.answer_age;
         while let Some((ended_at, attempt)) = self.answers_by_age.first().copied() {
-            let excess = self.answer_memory_bytes > self.limits.answer_memory_bytes;
-            if !excess && ended_at >= oldest_answer {
+            let over_limit = self.answer_memory_bytes > self.limits.answer_memory_bytes;
+            if !over_limit && ended_at >= oldest_answer {
                 break;
             }
             self.answers_by_age.remove(&(ended_at, attempt));
-            self.drop_answer(attempt);
+            self.evict_answer(attempt);
         }
         while self.records.len() > self.limits.record_count {
             let oldest = self.barred_by_age.pop_first().or_else(|| self.ended_by_age.pop_first());
             let Some((_, attempt)) = oldest else {
                 break;
             };
-            self.drop_record(attempt);
+            self.evict_record(attempt);
         }
     }
 
-    fn drop_answer(&mut self, attempt: AttemptId) {
+    fn evict_answer(&mut self, attempt: AttemptId) {
         let Some(record) = self.records.get_mut(&attempt) else {
             return;
         };
         if let RecordState::Ended(outcome) = &record.state {
             self.answer_memory_bytes -= outcome_memory_bytes(outcome);
-            record.state = RecordState::Forgotten;
+            record.state = RecordState::AnswerEvicted;
         }
     }
 
-    fn drop_record(&mut self, attempt: AttemptId) {
-        self.drop_answer(attempt);
+    fn evict_record(&mut self, attempt: AttemptId) {
+        self.evict_answer(attempt);
         let Some(record) = self.records.remove(&attempt) else {
             return;
         };
         self.answers_by_age.remove(&(record.changed_at, attempt));
         let issued_at = attempt_issued_at(attempt);
-        self.forgotten_until = self.forgotten_until.max(Some(issued_at));
+        self.evicted_until = self.evicted_until.max(Some(issued_at));
     }
 }
--- a/crates/yuccatack_requests/src/claims/client.rs
+++ b/crates/yuccatack_requests/src/claims/client.rs
@@ -1,36 +1,36 @@
-//! The message interface through which entries reach the control leader.
+//! Message interface through which entries send claim commands to the control leader.
 
 use tokio::sync::{mpsc, oneshot};
 
 use super::error::ClaimCallError;
 use super::message::{ClaimCommand, ClaimOutcome};
 
-/// The calls that may wait for the control client; more are refused at once.
+/// Maximum number of calls that wait for the control client; further calls are refused at once.
 const CLAIM_QUEUE_LENGTH: usize = 1024;
 
-/// One call about a claim with the place for its reply.
+/// Claim command with the channel for its reply.
 #[derive(Debug)]
 pub struct ClaimMessage {
-    /// The command.
+    /// Command to apply in the replicated state.
     pub command: ClaimCommand,
-    /// Where the result goes. Dropping it without a result counts as unconfirmed.
+    /// Channel for the result. Dropping it without a result counts as unconfirmed.
     pub reply: oneshot::Sender<Result<ClaimOutcome, ClaimCallError>>,
 }
 
-/// Sends claim commands to the task that is connected to the control leader.
+/// Handle that sends claim commands to the task connected to the control leader.
 #[derive(Clone, Debug)]
 pub struct ClaimClient {
     sender: mpsc::Sender<ClaimMessage>,
 }
 
-/// Makes a client and the queue that the connecting task reads.
+/// Creates a client and the receiving end of its queue, which the connected task reads.
 pub fn claim_channel() -> (ClaimClient, mpsc::Receiver<ClaimMessage>) {
     let (sender, receiver) = mpsc::channel(CLAIM_QUEUE_LENGTH);
     (ClaimClient { sender }, receiver)
 }
 
 impl ClaimClient {
-    /// Has a command applied and gives its result.
+    /// Sends a command to the control leader and returns its result.
     ///
     /// [`ClaimCallError::Unavailable`] means that nothing changed; after
     /// [`ClaimCallError::Unconfirmed`] the same command may be sent again.
--- a/crates/yuccatack_requests/src/claims/key.rs
+++ b/crates/yuccatack_requests/src/claims/key.rs
@@ -1,4 +1,4 @@
-//! Keys of non-idempotent requests.
+//! Idempotency keys of non-idempotent requests.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use snafu::Snafu;
 use yuccatack_core::prelude::*;
 
-/// The longest key accepted; keys are kept in replicated memory for a day.
+/// Maximum length of a key, bounded because keys stay in replicated memory for a day by default.
 pub const MAX_KEY_LENGTH_BYTES: usize = 128;
 
-/// A text that is no key.
+/// Error for a text that is not a valid idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display(
     "a key is `<unix time in ms>-<text>` of at most 128 visible ASCII characters, for example \
@@ -18,7 +18,7 @@
 ))]
 pub struct InvalidIdempotencyKeyError;
 
-/// A caller's key, `<unix time in ms>-<text>`.
+/// Idempotency key chosen by the caller, of the form `<unix time in ms>-<text>`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct IdempotencyKey {
@@ -27,7 +27,7 @@
 }
 
 impl IdempotencyKey {
-    /// Checks the form of `text` and shares it.
+    /// Parses and validates `text`.
     pub fn new(text: &str) -> Result<Self, InvalidIdempotencyKeyError> {
         let visible = text.bytes().all(|byte| byte.is_ascii_graphic());
         if text.len() > MAX_KEY_LENGTH_BYTES || !visible {
@@ -41,12 +41,12 @@
         Ok(Self { issued_at: TimestampMs::new(issued_at), text: Arc::from(text) })
     }
 
-    /// When the caller made the key.
+    /// Returns the time at which the caller created the key, as stated in the key itself.
     pub fn issued_at(&self) -> TimestampMs {
         self.issued_at
     }
 
-    /// The whole key.
+    /// Returns the complete key, including its time.
     pub fn as_str(&self) -> &str {
         &self.text
     }
--- a/crates/yuccatack_requests/src/claims/message.rs
+++ b/crates/yuccatack_requests/src/claims/message.rs
@@ -1,4 +1,4 @@
-//! Commands to the claim table and its answers.
+//! Commands to the claim table and their results.
 
 use std::net::SocketAddr;
 
@@ -7,18 +7,18 @@
 
 use super::key::IdempotencyKey;
 
-/// A digest of service, path and body.
+/// Digest of service, path and body, which detects a key that is reused for other content.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ContentDigest([u8; 32]);
 
 impl ContentDigest {
-    /// Wraps the raw bytes.
+    /// Creates a digest from its raw bytes.
     pub const fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
 
-    /// Digests the content of a request. Lengths are part of the digest, so that the parts cannot
-    /// be shifted against each other.
+    /// Computes the digest of the parts of a request. The length of each part is hashed too, so
+    /// that moving bytes from one part to the next changes the digest.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
@@ -28,93 +28,94 @@
         Self(*hasher.finalize().as_bytes())
     }
 
-    /// The raw bytes.
+    /// Returns the raw bytes of the digest.
     pub const fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
 }
 
-/// The attempt that a claim permits, and where it may run.
+/// Attempt that a claim permits, with the agent that may run it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ClaimedAttempt {
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The agent's node.
+    /// Node name of the agent.
     pub node: NodeName,
-    /// The agent's incarnation.
+    /// Incarnation of the agent; a restarted agent refuses the attempt.
     pub incarnation: Incarnation,
-    /// Where the agent accepts attempts.
+    /// Address on which the agent accepts attempts.
     pub address: SocketAddr,
 }
 
-/// How far a claim has come.
+/// Progress of a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ClaimState {
     /// The attempt may have reached its agent.
     Dispatched,
-    /// The attempt completed; its agent holds the answer while it lives.
+    /// The attempt completed; its agent stores the answer until it evicts it or restarts.
     Completed,
     /// The attempt provably never ran; the key may be claimed again.
     Released,
 }
 
-/// A replicated command.
+/// Command to the claim table, replicated in the log.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ClaimCommand {
-    /// Asks for the right to dispatch one attempt for a key.
+    /// Requests the right to dispatch one attempt for a key.
     Claim {
-        /// Who asks.
+        /// Organisation of the caller; keys are unique within it.
         organisation: OrganisationName,
-        /// The caller's key.
+        /// Key to claim.
         key: IdempotencyKey,
-        /// What is asked for.
+        /// Digest of the request's content.
         content: ContentDigest,
-        /// The attempt that the claim shall permit.
+        /// Attempt to be permitted.
         attempt: ClaimedAttempt,
     },
-    /// Records how the claimed attempt ended.
+    /// Records the end of the claimed attempt.
     Settle {
-        /// Who asked.
+        /// Organisation of the caller.
         organisation: OrganisationName,
-        /// The caller's key.
+        /// Claimed key.
         key: IdempotencyKey,
-        /// The attempt that ended.
+        /// Attempt that ended.
         attempt: AttemptId,
-        /// [`ClaimState::Completed`] or [`ClaimState::Released`].
+        /// Either [`ClaimState::Completed`] or [`ClaimState::Released`].
         state: ClaimState,
     },
 }
 
-/// Why a claim is refused; nothing was claimed.
+/// Reason for which a claim is refused; the table is unchanged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ClaimRefusal {
-    /// The key is older than claims are kept, so that it may have run before.
+    /// The key is older than the retention period of claims, so the request may have run before.
     KeyTooOld,
-    /// The key's time lies too far in the future.
+    /// The key's issue time is further in the future than the allowed clock skew.
     KeyFromFuture,
-    /// The key was used for other content.
+    /// The key was used for a request with other content.
     KeyReused,
-    /// The table holds as many claims as it may.
+    /// The table is at its maximum number of claims.
     TableFull {
-        /// When the oldest claim expires.
+        /// Time until the oldest claim expires.
         retry_after_ms: u64,
     },
 }
 
-/// The result of a command.
+/// Result of a claim command.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// The attempt may be dispatched, by whoever claimed it.
+    /// The claimant may dispatch the attempt.
     Granted,
     /// An earlier attempt holds the key.
     Existing {
-        /// That attempt.
+        /// Attempt that holds the key.
         attempt: ClaimedAttempt,
-        /// How far it has come.
+        /// Progress of the earlier claim.
         state: ClaimState,
     },
-    /// The claim is refused.
+    /// The claim is refused and the table is unchanged.
     Refused(ClaimRefusal),
-    /// Whether the settlement was for the attempt that holds the key.
+    /// `true` if the attempt holds the key and its claim now has the requested state; `false` if
+    /// nothing changed.
     Settled(bool),
 }
--- a/crates/yuccatack_requests/src/claims/mod.rs
+++ b/crates/yuccatack_requests/src/claims/mod.rs
@@ -1,4 +1,4 @@
-//! Claims of non-idempotent keys in the replicated state.
+//! Claims of idempotency keys of non-idempotent requests, held in the replicated state.
 
 mod client;
 mod error;
--- a/crates/yuccatack_requests/src/claims/state.rs
+++ b/crates/yuccatack_requests/src/claims/state.rs
@@ -1,4 +1,4 @@
-//! The replicated table of claims.
+//! Replicated table of claims.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,15 +10,15 @@
     ClaimCommand, ClaimOutcome, ClaimRefusal, ClaimState, ClaimedAttempt, ContentDigest,
 };
 
-/// Bounds of the table; every replica must apply the same ones.
+/// Limits of the claim table; every replica must apply the same ones.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ClaimLimits {
-    /// How long claims are kept, counted from the key's own time.
+    /// Retention period of claims, counted from the key's issue time.
     pub age: DurationMs,
-    /// The most claims that are kept.
+    /// Maximum number of claims.
     pub count: u64,
-    /// How far a key's time may lie ahead. A key expires by its own time, so one from the far
-    /// future would stay for as long.
+    /// Tolerance for issue times that lie in the future. A claim expires by its key's issue time,
+    /// so a key from the far future would stay in the table for as long.
     pub clock_skew: DurationMs,
 }
 
@@ -43,8 +43,9 @@
 
 /// Grants each key to at most one attempt at a time.
 ///
-/// `now` is the leader's wall clock as written into the log entry, so that every replica decides
-/// alike. The table keeps the newest `now` it has seen and never goes back behind it.
+/// `now` is the leader's wall clock as recorded in the log entry, so that every replica makes the
+/// same decision. The table keeps the newest `now` and never moves back, so that an expired key
+/// stays expired when a later leader's clock is behind.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ClaimTable {
     limits: ClaimLimits,
@@ -54,26 +55,30 @@
 }
 
 impl ClaimTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: ClaimLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// The claims that are kept.
+    /// Returns the number of claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim is kept.
+    /// Returns `true` if the table holds no claim.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Applies a command at the time in its log entry.
+    /// Applies a command; `now` is the time recorded in its log entry.
     pub fn apply(&mut self, command: ClaimCommand, now: TimestampMs) -> ClaimOutcome {
         self.newest_now = self.newest_now.max(now);
         self.expire();
-        assert_eq!(self.claims.len(), self.by_issue_time.len(), "a claim without an expiry");
+        assert_eq!(
+            self.claims.len(),
+            self.by_issue_time.len(),
+            "the expiry index does not cover every claim"
+        );
         match command {
             ClaimCommand::Claim { organisation, key, content, attempt } => {
                 self.claim((organisation, key), content, attempt)
@@ -111,17 +116,17 @@
             return ClaimOutcome::Refused(ClaimRefusal::KeyFromFuture);
         }
         if let Some(claim) = self.claims.get_mut(&claim_key) {
-            return Self::claim_again(claim, content, attempt);
+            return Self::claim_existing_key(claim, content, attempt);
         }
         if self.claims.len() as u64 >= self.limits.count {
-            return ClaimOutcome::Refused(self.table_full());
+            return ClaimOutcome::Refused(self.table_full_refusal());
         }
         self.by_issue_time.insert((issued_at, claim_key.clone()));
         self.claims.insert(claim_key, Claim { content, attempt, state: ClaimState::Dispatched });
         ClaimOutcome::Granted
     }
 
-    fn claim_again(
+    fn claim_existing_key(
         claim: &mut Claim,
         content: ContentDigest,
         attempt: ClaimedAttempt,
@@ -137,7 +142,7 @@
         ClaimOutcome::Existing { attempt: claim.attempt.clone(), state: claim.state }
     }
 
-    fn table_full(&self) -> ClaimRefusal {
+    fn table_full_refusal(&self) -> ClaimRefusal {
         let oldest =
             self.by_issue_time.first().map_or(self.newest_now, |(issued_at, _)| *issued_at);
         let wait = (oldest + self.limits.age).since(self.newest_now);
@@ -156,7 +161,7 @@
                 claim.state = state;
                 true
             }
-            (held, asked) => held == asked && asked != ClaimState::Dispatched,
+            (current, requested) => current == requested && requested != ClaimState::Dispatched,
         }
     }
 }
--- a/crates/yuccatack_requests/src/dispatch/claiming.rs
+++ b/crates/yuccatack_requests/src/dispatch/claiming.rs
@@ -1,27 +1,27 @@
-//! The part of dispatching that keeps a non-idempotent key to one attempt at a time.
+//! Claims of idempotency keys, which limit a non-idempotent request to one attempt at a time.
 
 use yuccatack_core::prelude::*;
 
-use super::legs::Leg;
 use super::message::DispatchCommand;
+use super::pending::PendingAttempt;
 use super::state::Dispatch;
 use crate::claims::{ClaimCallError, ClaimOutcome, ClaimRefusal, ClaimState, ClaimedAttempt};
 use crate::outcome::{NotRun, NotRunReason, NotRunScope, Outcome, Unknown, UnknownReason};
 
-/// What is under way with the control leader.
+/// State of the claim of one request at the control leader.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Claiming {
     stage: Stage,
-    /// The attempt that was drawn for this sending and not yet sent.
-    own: Option<ClaimedAttempt>,
+    /// Attempt that was generated for this submission and has not been sent.
+    own_attempt: Option<ClaimedAttempt>,
     claim_count: usize,
     failure_count: u32,
-    /// Whether every attempt that held the key before the own one provably never ran. A claim is
-    /// only granted again after such an attempt was released.
+    /// `true` if every attempt that held the key before this submission's attempt provably never
+    /// ran. A key is only granted again after such an attempt was released.
     key_unused: bool,
-    /// Whether the claim only asks for an earlier holder, because no minion can be chosen. Its
-    /// attempt is addressed to nobody and is never sent.
-    looking_up: bool,
+    /// `true` if the claim only looks up an earlier holder of the key, because no minion can be
+    /// chosen. Its attempt is a placeholder that is addressed to no agent and never sent.
+    lookup_only: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -29,22 +29,22 @@
     #[default]
     Idle,
     Claiming,
-    ClaimLater(TimestampMs),
+    ClaimScheduled(TimestampMs),
     Releasing(AttemptId),
-    ReleaseLater(AttemptId, TimestampMs),
+    ReleaseScheduled(AttemptId, TimestampMs),
 }
 
 impl Claiming {
     pub(super) fn next_timer(&self) -> Option<TimestampMs> {
         match self.stage {
-            Stage::ClaimLater(at) | Stage::ReleaseLater(_, at) => Some(at),
+            Stage::ClaimScheduled(at) | Stage::ReleaseScheduled(_, at) => Some(at),
             Stage::Idle | Stage::Claiming | Stage::Releasing(_) => None,
         }
     }
 }
 
-/// Whether a claimed attempt is addressed to nobody; zero is no agent's incarnation.
-fn is_lookup(attempt: &ClaimedAttempt) -> bool {
+/// Returns `true` for the placeholder attempt of a lookup; no agent has the incarnation zero.
+fn is_placeholder(attempt: &ClaimedAttempt) -> bool {
     attempt.incarnation == Incarnation::default()
 }
 
@@ -79,7 +79,7 @@
         };
         claiming.claim_count += 1;
         claiming.stage = Stage::Claiming;
-        claiming.own = Some(attempt.clone());
+        claiming.own_attempt = Some(attempt.clone());
         self.commands.push(DispatchCommand::Claim(attempt));
     }
 
@@ -95,64 +95,64 @@
             return;
         }
         claiming.stage = Stage::Idle;
-        let Some(own) = claiming.own.clone() else {
+        let Some(own_attempt) = claiming.own_attempt.clone() else {
             return;
         };
-        if claiming.looking_up && result.is_err() {
-            // The refusal stands, and speaks of this sending only.
+        if claiming.lookup_only && result.is_err() {
+            // The earlier refusal remains valid, for this submission only.
             return self.finish_without_attempts();
         }
         match result {
-            Ok(ClaimOutcome::Granted) => self.claim_granted(own, now),
+            Ok(ClaimOutcome::Granted) => self.claim_granted(own_attempt, now),
             Ok(ClaimOutcome::Existing { attempt, state }) => {
-                self.claim_existing(own, attempt, state, now);
+                self.claim_existing(own_attempt, attempt, state, now);
             }
             Ok(ClaimOutcome::Refused(reason)) => {
-                // A young key without a claim has never been dispatched.
+                // A key that is not expired and has no claim has never been dispatched.
                 claiming.key_unused = matches!(reason, ClaimRefusal::TableFull { .. });
                 self.finish(refusal(reason).into());
             }
             Ok(ClaimOutcome::Settled(_))
             | Err(ClaimCallError::Unavailable { .. } | ClaimCallError::Unconfirmed) => {
-                self.claim_later(now);
+                self.schedule_claim_retry(now);
             }
         }
     }
 
-    fn claim_granted(&mut self, own: ClaimedAttempt, now: TimestampMs) {
+    fn claim_granted(&mut self, own_attempt: ClaimedAttempt, now: TimestampMs) {
         if let Some(claiming) = &mut self.claiming {
-            if claiming.looking_up {
+            if claiming.lookup_only {
                 claiming.key_unused = true;
-                claiming.own = None;
+                claiming.own_attempt = None;
                 self.finish_without_attempts();
-                let unused = DispatchCommand::Settle(own.attempt, ClaimState::Released);
-                return self.commands.push(unused);
+                let release = DispatchCommand::Settle(own_attempt.attempt, ClaimState::Released);
+                return self.commands.push(release);
             }
-            claiming.own = None;
+            claiming.own_attempt = None;
             claiming.failure_count = 0;
             claiming.key_unused = true;
         }
-        self.execute(own, now);
+        self.execute(own_attempt, now);
     }
 
     fn claim_existing(
         &mut self,
-        own: ClaimedAttempt,
+        own_attempt: ClaimedAttempt,
         holder: ClaimedAttempt,
         state: ClaimState,
         now: TimestampMs,
     ) {
-        if holder.attempt != own.attempt {
-            return self.claim_held(holder);
+        if holder.attempt != own_attempt.attempt {
+            return self.resolve_holder(holder);
         }
         match state {
-            // The reply to the first try was lost. Only this sending may dispatch its attempt,
-            // and it has not.
-            ClaimState::Dispatched => self.claim_granted(own, now),
-            // A resend resolved the attempt before it was sent, which barred it.
+            // The reply to the first claim was lost. Only this submission may dispatch its attempt,
+            // and it has not done so.
+            ClaimState::Dispatched => self.claim_granted(own_attempt, now),
+            // A resubmission resolved the attempt before it was sent, which barred it.
             ClaimState::Released => {
                 if let Some(claiming) = &mut self.claiming {
-                    claiming.own = None;
+                    claiming.own_attempt = None;
                 }
                 self.retry(now);
             }
@@ -163,51 +163,53 @@
         }
     }
 
-    /// Finds out what became of the attempt that holds the key.
-    fn claim_held(&mut self, holder: ClaimedAttempt) {
+    /// Resolves the attempt that holds the key, or releases it if it is a lookup placeholder.
+    fn resolve_holder(&mut self, holder: ClaimedAttempt) {
         let Some(claiming) = &mut self.claiming else {
             return;
         };
-        if is_lookup(&holder) {
-            // Its sending ended without releasing it. It was never sent, so the key is free.
+        if is_placeholder(&holder) {
+            // The submission that looked up the key ended without releasing it. Placeholders are
+            // never sent, so the key can be released.
             claiming.stage = Stage::Releasing(holder.attempt);
             let release = DispatchCommand::Settle(holder.attempt, ClaimState::Released);
             return self.commands.push(release);
         }
         claiming.key_unused = false;
-        if claiming.looking_up {
-            claiming.looking_up = false;
-            claiming.own = None;
+        if claiming.lookup_only {
+            claiming.lookup_only = false;
+            claiming.own_attempt = None;
         }
-        self.follow(holder);
+        self.resolve_foreign(holder);
     }
 
-    /// Asks whether an earlier sending holds the key, although nothing can be sent now. Only
-    /// refusals that are not due to overload are worth the two commands.
-    pub(super) fn look_up(&mut self, reason: NotRunReason) -> bool {
-        let worth = matches!(reason, NotRunReason::NoMinion | NotRunReason::NoSlot);
-        let first = self.attempt_count == 0 && self.legs.is_empty();
+    /// Looks up whether an earlier submission holds the key, although no attempt can be sent now.
+    /// Returns `false` if no lookup is made. Only `NoMinion` and `NoSlot` qualify: a lookup costs
+    /// two replicated commands, which refusals due to overload do not justify.
+    pub(super) fn look_up_holder(&mut self, reason: NotRunReason) -> bool {
+        let reason_qualifies = matches!(reason, NotRunReason::NoMinion | NotRunReason::NoSlot);
+        let before_first_attempt = self.attempt_count == 0 && self.pending_attempts.is_empty();
         let Some(claiming) = self.claiming.as_mut().filter(|claiming| claiming.claim_count == 0)
         else {
             return false;
         };
-        if !worth || !first {
+        if !reason_qualifies || !before_first_attempt {
             return false;
         }
-        claiming.looking_up = true;
-        let nobody = self.lookup_attempt();
-        self.claim(nobody);
+        claiming.lookup_only = true;
+        let attempt = self.placeholder_attempt();
+        self.claim(attempt);
         true
     }
 
-    fn claim_later(&mut self, now: TimestampMs) {
+    fn schedule_claim_retry(&mut self, now: TimestampMs) {
         let Some(claiming) = &mut self.claiming else {
             return;
         };
         claiming.failure_count += 1;
         let count = claiming.failure_count;
-        let pause = self.backoff(count);
-        let at = now + pause;
+        let delay = self.backoff(count);
+        let at = now + delay;
         if at >= self.deadline {
             return self.finish(
                 NotRun::retryable(
@@ -219,22 +221,23 @@
             );
         }
         if let Some(claiming) = &mut self.claiming {
-            claiming.stage = Stage::ClaimLater(at);
+            claiming.stage = Stage::ClaimScheduled(at);
         }
     }
 
-    /// Frees the key of an attempt that provably never ran, before the key is claimed again.
-    pub(super) fn release_then_retry(&mut self, leg: &Leg) {
+    /// Releases the key of an attempt that provably never ran, before the key is claimed again.
+    pub(super) fn release_then_retry(&mut self, pending: &PendingAttempt) {
         let Some(claiming) = &mut self.claiming else {
             return;
         };
-        let spent = claiming.own.is_none() && self.attempt_count >= self.settings.attempt_count;
-        let last = spent || claiming.claim_count >= self.settings.claim_count;
-        claiming.stage = Stage::Releasing(leg.attempt.attempt);
-        if last {
+        let attempts_exhausted =
+            claiming.own_attempt.is_none() && self.attempt_count >= self.settings.attempt_limit;
+        let is_last = attempts_exhausted || claiming.claim_count >= self.settings.claim_limit;
+        claiming.stage = Stage::Releasing(pending.attempt.attempt);
+        if is_last {
             self.finish_without_attempts();
         }
-        self.commands.push(DispatchCommand::Settle(leg.attempt.attempt, ClaimState::Released));
+        self.commands.push(DispatchCommand::Settle(pending.attempt.attempt, ClaimState::Released));
     }
 
     pub(super) fn settled(
@@ -257,16 +260,16 @@
         let count = claiming.failure_count;
         let at = now + self.backoff(count);
         if let Some(claiming) = &mut self.claiming {
-            claiming.stage = Stage::ReleaseLater(attempt, at);
+            claiming.stage = Stage::ReleaseScheduled(attempt, at);
         }
     }
 
-    /// An attempt that was drawn and never sent can be claimed again; otherwise a new minion is
-    /// chosen.
+    /// Claims the attempt that was generated but never sent, or chooses a new minion if there is
+    /// none.
     fn claim_own_or_retry(&mut self, now: TimestampMs) {
-        let own = self.claiming.as_ref().and_then(|claiming| claiming.own.clone());
-        match own {
-            Some(own) => self.claim(own),
+        let own_attempt = self.claiming.as_ref().and_then(|claiming| claiming.own_attempt.clone());
+        match own_attempt {
+            Some(own_attempt) => self.claim(own_attempt),
             None => self.retry(now),
         }
     }
@@ -276,24 +279,24 @@
             return;
         };
         match claiming.stage {
-            Stage::ClaimLater(at) if at <= now => {
-                if let Some(own) = claiming.own.clone() {
-                    self.claim(own);
+            Stage::ClaimScheduled(at) if at <= now => {
+                if let Some(own_attempt) = claiming.own_attempt.clone() {
+                    self.claim(own_attempt);
                 }
             }
-            Stage::ReleaseLater(attempt, at) if at <= now => {
+            Stage::ReleaseScheduled(attempt, at) if at <= now => {
                 claiming.stage = Stage::Releasing(attempt);
                 self.commands.push(DispatchCommand::Settle(attempt, ClaimState::Released));
             }
             Stage::Idle
             | Stage::Claiming
-            | Stage::ClaimLater(_)
+            | Stage::ClaimScheduled(_)
             | Stage::Releasing(_)
-            | Stage::ReleaseLater(..) => {}
+            | Stage::ReleaseScheduled(..) => {}
         }
     }
 
-    /// Says whether a refusal speaks of the whole key.
+    /// Widens the scope of a refusal to the key if no attempt with the key has run.
     pub(super) fn with_scope(&self, outcome: Outcome) -> Outcome {
         let key_unused = self.claiming.as_ref().is_some_and(|claiming| claiming.key_unused);
         match outcome {
@@ -304,17 +307,17 @@
         }
     }
 
-    /// Frees a key that was claimed, or may have been, for an attempt that will never be sent.
+    /// Releases a key that was claimed, or may have been, for an attempt that will never be sent.
     pub(super) fn release_unused_claim(&mut self, outcome: &Outcome) {
         let Some(claiming) = &mut self.claiming else {
             return;
         };
-        let maybe_claimed = matches!(claiming.stage, Stage::Claiming | Stage::ClaimLater(_));
-        let Some(own) = claiming.own.take() else {
+        let maybe_claimed = matches!(claiming.stage, Stage::Claiming | Stage::ClaimScheduled(_));
+        let Some(own_attempt) = claiming.own_attempt.take() else {
             return;
         };
         if maybe_claimed && matches!(outcome, Outcome::NotRun(_)) {
-            self.commands.push(DispatchCommand::Settle(own.attempt, ClaimState::Released));
+            self.commands.push(DispatchCommand::Settle(own_attempt.attempt, ClaimState::Released));
         }
     }
 }
--- a/crates/yuccatack_requests/src/dispatch/message.rs
+++ b/crates/yuccatack_requests/src/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! Events into the state machine and commands out of it.
+//! Events that the dispatch state machine handles and commands that it issues.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,20 @@
 use crate::claims::{ClaimCallError, ClaimOutcome, ClaimState, ClaimedAttempt};
 use crate::outcome::{NotRun, Outcome};
 
-/// The agent that an attempt is addressed to.
+/// Agent that an attempt is addressed to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// The agent's node.
+    /// Node name of the agent.
     pub node: NodeName,
-    /// The agent's incarnation.
+    /// Incarnation of the agent; a restarted agent refuses the attempt.
     pub incarnation: Incarnation,
-    /// Where the agent accepts attempts.
+    /// Address on which the agent accepts attempts.
     pub address: SocketAddr,
 }
 
 impl Target {
-    /// The attempt as it is claimed.
-    pub fn claimed(&self, attempt: AttemptId) -> ClaimedAttempt {
+    /// Combines the target with an attempt identifier, as recorded in a claim.
+    pub fn to_claimed_attempt(&self, attempt: AttemptId) -> ClaimedAttempt {
         ClaimedAttempt {
             attempt,
             node: self.node.clone(),
@@ -31,47 +31,47 @@
     }
 }
 
-/// Why a minion is chosen.
+/// Purpose for which a minion is chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChoiceKind {
-    /// The first attempt; it passes admission.
+    /// First attempt; subject to admission control.
     First,
-    /// Another attempt after one that did not run or is lost; it spends the retry budget.
+    /// Attempt after one that did not run or whose outcome is lost; uses the retry budget.
     Retry,
-    /// A second attempt beside a slow one; it spends the retry budget.
+    /// Second attempt in parallel with a slow one; uses the retry budget.
     Hedge,
 }
 
-/// What happened.
+/// Event handled by the dispatch of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchEvent {
-    /// The answer to [`DispatchCommand::Choose`], with a newly drawn attempt.
+    /// Result of [`DispatchCommand::Choose`], with a newly generated attempt identifier.
     Chosen(Result<(AttemptId, Target), NotRun>),
-    /// The answer to [`DispatchCommand::Claim`].
+    /// Result of [`DispatchCommand::Claim`].
     Claimed(Result<ClaimOutcome, ClaimCallError>),
-    /// The answer to [`DispatchCommand::Settle`].
+    /// Result of [`DispatchCommand::Settle`].
     Settled(Result<ClaimOutcome, ClaimCallError>),
-    /// What an agent says of an attempt, checked to be whole and of this attempt.
+    /// Resolution reported by an agent, verified to be complete and to belong to this attempt.
     Resolved(AttemptId, Resolution),
-    /// The exchange with the agent broke or timed out after something was sent.
+    /// The exchange with the agent failed or timed out after data was sent.
     Broken(AttemptId),
-    /// The time that [`Dispatch::next_timer`](super::Dispatch::next_timer) gave has come.
+    /// The time returned by [`Dispatch::next_timer`](super::Dispatch::next_timer) is reached.
     Timer,
 }
 
-/// What to do.
+/// Action that the caller of the state machine carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchCommand {
-    /// Choose a minion on none of these nodes.
+    /// Choose a minion, avoiding the given nodes.
     Choose(ChoiceKind, Vec<NodeName>),
     /// Claim the key for this attempt.
     Claim(ClaimedAttempt),
-    /// Settle the claim that this attempt holds.
+    /// Set the final state of the claim that this attempt holds.
     Settle(AttemptId, ClaimState),
-    /// Send the attempt to its agent, once.
+    /// Send the attempt to its agent exactly once.
     Execute(ClaimedAttempt),
-    /// Ask the agent on a new connection what became of the attempt.
+    /// Request the attempt's resolution from its agent on a new connection.
     Resolve(ClaimedAttempt),
-    /// Tell the caller.
+    /// Return the outcome to the caller; no commands follow.
     Finish(Outcome),
 }
--- a/crates/yuccatack_requests/src/dispatch/mod.rs
+++ b/crates/yuccatack_requests/src/dispatch/mod.rs
@@ -1,8 +1,8 @@
-//! The state machine that takes one caller's request to its outcome.
+//! State machine that drives one caller's request to its outcome.
 
 mod claiming;
-mod legs;
 mod message;
+mod pending;
 mod settings;
 mod state;
 
--- a/crates/yuccatack_requests/src/dispatch/settings.rs
+++ b/crates/yuccatack_requests/src/dispatch/settings.rs
@@ -1,35 +1,37 @@
-//! Times and bounds of dispatching.
+//! Time limits and bounds of dispatching.
 
 use yuccatack_core::prelude::*;
 
-/// Times and bounds of dispatching.
+/// Time limits and bounds that apply to the dispatch of one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DispatchSettings {
-    /// The most attempts for one request, hedges included.
-    pub attempt_count: usize,
-    /// The most claims for one request; a lively resend may take the key in between.
-    pub claim_count: usize,
-    /// How long an attempt may be silent before a new connection asks for it.
-    pub silence: DurationMs,
-    /// How long an idempotent attempt may take before a second one starts elsewhere.
-    pub hedge_after: DurationMs,
-    /// How long an agent may hold back the answer to `Resolve`.
+    /// Maximum number of attempts of one request, including hedges.
+    pub attempt_limit: usize,
+    /// Maximum number of claims of one request. It exceeds the number of attempts, because a
+    /// concurrent resubmission may claim the released key first.
+    pub claim_limit: usize,
+    /// Time without an answer after which the attempt is resolved on a new connection.
+    pub silence_timeout: DurationMs,
+    /// Duration of an idempotent attempt after which a second one starts on another node.
+    pub hedge_delay: DurationMs,
+    /// Time for which an agent may delay the answer to `Resolve` while the attempt is running.
     pub resolve_wait: DurationMs,
-    /// The first pause before a retry; it doubles each time.
+    /// Delay before the first retry; it doubles with each further one.
     pub backoff_base: DurationMs,
-    /// The longest pause before a retry.
+    /// Maximum delay before a retry.
     pub backoff_limit: DurationMs,
-    /// How long after the deadline the agent's own account of it is waited for.
+    /// Time after the deadline during which the agent's resolution of a pending attempt is still
+    /// accepted.
     pub deadline_grace: DurationMs,
 }
 
 impl Default for DispatchSettings {
     fn default() -> Self {
         Self {
-            attempt_count: 4,
-            claim_count: 8,
-            silence: DurationMs::new(1_000),
-            hedge_after: DurationMs::new(2_000),
+            attempt_limit: 4,
+            claim_limit: 8,
+            silence_timeout: DurationMs::new(1_000),
+            hedge_delay: DurationMs::new(2_000),
             resolve_wait: DurationMs::new(1_000),
             backoff_base: DurationMs::new(5),
             backoff_limit: DurationMs::new(500),
--- a/crates/yuccatack_requests/src/dispatch/state.rs
+++ b/crates/yuccatack_requests/src/dispatch/state.rs
@@ -1,4 +1,4 @@
-//! The dispatch of one request.
+//! State machine of one request's dispatch.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,24 @@
 use yuccatack_core::prelude::*;
 
 use super::claiming::Claiming;
-use super::legs::{Leg, LegState};
 use super::message::{ChoiceKind, DispatchCommand, DispatchEvent, Target};
+use super::pending::{PendingAttempt, PendingState};
 use super::settings::DispatchSettings;
 use crate::attempts::Resolution;
 use crate::claims::{ClaimState, ClaimedAttempt};
 use crate::outcome::{NotRun, NotRunReason, Outcome, Unknown, UnknownReason};
 
-/// Takes one request to its outcome.
+/// Drives one request to its outcome.
 ///
-/// Feed events with [`handle`](Self::handle), carry the commands out, and send
-/// [`DispatchEvent::Timer`] at [`next_timer`](Self::next_timer).
+/// The caller passes events to [`handle`](Self::handle), carries out the returned commands, and
+/// passes [`DispatchEvent::Timer`] at the time given by [`next_timer`](Self::next_timer).
 #[derive(Debug)]
 pub struct Dispatch {
     pub(super) settings: DispatchSettings,
     node: NodeName,
     pub(super) deadline: TimestampMs,
-    pub(super) legs: Vec<Leg>,
-    /// `Some` for non-idempotent requests.
+    pub(super) pending_attempts: Vec<PendingAttempt>,
+    /// Claim state; `None` for idempotent requests, which need no claim.
     pub(super) claiming: Option<Claiming>,
     pub(super) attempt_count: usize,
     choosing: bool,
@@ -33,16 +33,16 @@
     backoff_count: u32,
     excluded: Vec<NodeName>,
     last_refusal: Option<NotRun>,
-    /// An attempt that may have run and of which nothing more can be known.
-    lost: Option<Unknown>,
+    /// Outcome of an attempt that may have run and can no longer be resolved.
+    lost_outcome: Option<Unknown>,
     finished: bool,
     random: SmallRng,
     pub(super) commands: Vec<DispatchCommand>,
 }
 
 impl Dispatch {
-    /// A request that must be answered by `deadline`, at the entry `node`. `seed` spreads the
-    /// pauses and names look-ups.
+    /// Creates the dispatch of a request with the given deadline, on the entry `node`. `seed`
+    /// determines the jitter of retry delays and the attempt identifiers of lookups.
     pub fn new(
         settings: DispatchSettings,
         node: NodeName,
@@ -54,7 +54,7 @@
             settings,
             node,
             deadline,
-            legs: Vec::new(),
+            pending_attempts: Vec::new(),
             claiming: (!idempotent).then(Claiming::default),
             attempt_count: 0,
             choosing: false,
@@ -63,36 +63,37 @@
             backoff_count: 0,
             excluded: Vec::new(),
             last_refusal: None,
-            lost: None,
+            lost_outcome: None,
             finished: false,
             random: SmallRng::seed_from_u64(seed),
             commands: Vec::new(),
         }
     }
 
-    /// The first commands.
+    /// Starts the dispatch and returns the first commands.
     pub fn start(&mut self, now: TimestampMs) -> Vec<DispatchCommand> {
         self.choose(ChoiceKind::First);
         self.check_deadline(now);
         std::mem::take(&mut self.commands)
     }
 
-    /// Whether the caller has been told.
+    /// Returns `true` once the outcome has been returned to the caller.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// When [`DispatchEvent::Timer`] is due next.
+    /// Returns the time at which the next [`DispatchEvent::Timer`] is due.
     pub fn next_timer(&self) -> TimestampMs {
-        let legs = self.legs.iter().filter_map(Leg::next_timer);
+        let pending = self.pending_attempts.iter().filter_map(PendingAttempt::next_timer);
         let claiming = self.claiming.as_ref().and_then(Claiming::next_timer);
-        legs.chain(claiming)
+        pending
+            .chain(claiming)
             .chain(self.choose_at)
             .chain(self.hedge_at)
             .fold(self.hard_deadline(), TimestampMs::min)
     }
 
-    /// Takes an event and gives what to do.
+    /// Handles an event and returns the resulting commands; events after the end are ignored.
     pub fn handle(&mut self, event: DispatchEvent, now: TimestampMs) -> Vec<DispatchCommand> {
         if self.finished {
             return Vec::new();
@@ -123,20 +124,20 @@
         if now >= self.hard_deadline() {
             return self.finish_at_deadline();
         }
-        // Before the grace ends only attempts under way can still bring an answer.
-        if now >= self.deadline && self.legs.is_empty() {
+        // During the grace period only pending attempts can still produce an answer.
+        if now >= self.deadline && self.pending_attempts.is_empty() {
             self.finish_at_deadline();
         }
     }
 
     fn finish_at_deadline(&mut self) {
-        if !self.legs.is_empty() {
+        if !self.pending_attempts.is_empty() {
             return self.finish(Outcome::from(Unknown::new(
                 UnknownReason::Deadline,
                 "the deadline passed while an attempt was with an agent",
             )));
         }
-        if let Some(unknown) = self.lost.clone() {
+        if let Some(unknown) = self.lost_outcome.clone() {
             return self.finish(unknown.into());
         }
         let refusal = self.last_refusal.as_ref();
@@ -166,7 +167,7 @@
 
     fn chosen(&mut self, attempt: AttemptId, target: &Target, now: TimestampMs) {
         self.choosing = false;
-        let claimed = target.claimed(attempt);
+        let claimed = target.to_claimed_attempt(attempt);
         if self.claiming.is_some() {
             return self.claim(claimed);
         }
@@ -177,141 +178,143 @@
         self.choosing = false;
         let reason = not_run.reason;
         let permanent = not_run.retry_after_ms.is_none();
-        let final_word = permanent || !matches!(not_run.reason, NotRunReason::NoSlot);
-        // The refusal of an attempt says more than the lack of a second choice.
+        let is_final = permanent || !matches!(not_run.reason, NotRunReason::NoSlot);
+        // The refusal of an attempt is more specific than the lack of another minion.
         if self.attempt_count == 0 || self.last_refusal.is_none() {
             self.last_refusal = Some(not_run);
         }
-        if !self.legs.is_empty() || self.look_up(reason) {
+        if !self.pending_attempts.is_empty() || self.look_up_holder(reason) {
             return;
         }
-        if final_word {
+        if is_final {
             return self.finish_without_attempts();
         }
         self.retry(now);
     }
 
-    /// Sends an attempt to its agent; this is the only place that does.
+    /// Sends an attempt to its agent. No other method issues [`DispatchCommand::Execute`].
     pub(super) fn execute(&mut self, attempt: ClaimedAttempt, now: TimestampMs) {
         assert!(
-            self.claiming.is_none() || self.legs.is_empty(),
-            "a second attempt of a non-idempotent request while one may still run"
+            self.claiming.is_none() || self.pending_attempts.is_empty(),
+            "a non-idempotent request must not have a second attempt while one may still run"
         );
         self.attempt_count += 1;
         self.commands.push(DispatchCommand::Execute(attempt.clone()));
         if self.claiming.is_none() && self.attempt_count == 1 {
-            self.hedge_at = Some(now + self.settings.hedge_after);
+            self.hedge_at = Some(now + self.settings.hedge_delay);
         }
-        let resolve_at = now + self.settings.silence;
-        self.legs.push(Leg {
+        let resolve_at = now + self.settings.silence_timeout;
+        self.pending_attempts.push(PendingAttempt {
             attempt,
-            state: LegState::Executing { resolve_at },
+            state: PendingState::Executing { resolve_at },
             failed_resolve_count: 0,
             foreign: false,
         });
     }
 
-    /// Asks for an attempt that an earlier sending of the same key dispatched.
-    pub(super) fn follow(&mut self, attempt: ClaimedAttempt) {
+    /// Resolves an attempt that an earlier submission with the same key dispatched.
+    pub(super) fn resolve_foreign(&mut self, attempt: ClaimedAttempt) {
         self.commands.push(DispatchCommand::Resolve(attempt.clone()));
-        self.legs.push(Leg {
+        self.pending_attempts.push(PendingAttempt {
             attempt,
-            state: LegState::Resolving,
+            state: PendingState::Resolving,
             failed_resolve_count: 0,
             foreign: true,
         });
     }
 
-    fn leg_index(&self, attempt: AttemptId) -> Option<usize> {
-        self.legs.iter().position(|leg| leg.attempt.attempt == attempt)
+    fn pending_index(&self, attempt: AttemptId) -> Option<usize> {
+        self.pending_attempts.iter().position(|pending| pending.attempt.attempt == attempt)
     }
 
     fn resolved(&mut self, attempt: AttemptId, resolution: Resolution, now: TimestampMs) {
-        let Some(index) = self.leg_index(attempt) else {
+        let Some(index) = self.pending_index(attempt) else {
             return;
         };
         match resolution {
             Resolution::Running => {
-                let leg = &mut self.legs[index];
-                leg.failed_resolve_count = 0;
-                leg.state = LegState::ResolveLater { resolve_at: now + self.settings.backoff_base };
+                let pending = &mut self.pending_attempts[index];
+                pending.failed_resolve_count = 0;
+                pending.state =
+                    PendingState::ResolveScheduled { resolve_at: now + self.settings.backoff_base };
             }
-            Resolution::NotRun(not_run) => self.leg_not_run(index, not_run, now),
-            Resolution::Unknown(unknown) => self.leg_lost(index, unknown, now),
+            Resolution::NotRun(not_run) => self.attempt_not_run(index, not_run, now),
+            Resolution::Unknown(unknown) => self.attempt_lost(index, unknown, now),
             Resolution::Ended(outcome) => match outcome.as_ref().clone() {
                 Outcome::Completed(_) => self.completed(index, outcome.as_ref().clone()),
-                Outcome::NotRun(not_run) => self.leg_not_run(index, not_run, now),
-                Outcome::Unknown(unknown) => self.leg_lost(index, unknown, now),
+                Outcome::NotRun(not_run) => self.attempt_not_run(index, not_run, now),
+                Outcome::Unknown(unknown) => self.attempt_lost(index, unknown, now),
             },
         }
     }
 
     fn completed(&mut self, index: usize, outcome: Outcome) {
         if self.claiming.is_some() {
-            let attempt = self.legs[index].attempt.attempt;
+            let attempt = self.pending_attempts[index].attempt.attempt;
             self.commands.push(DispatchCommand::Settle(attempt, ClaimState::Completed));
         }
         self.finish(outcome);
     }
 
-    fn leg_not_run(&mut self, index: usize, not_run: NotRun, now: TimestampMs) {
-        let leg = self.legs.swap_remove(index);
-        self.excluded.push(leg.attempt.node.clone());
-        if !leg.foreign {
+    fn attempt_not_run(&mut self, index: usize, not_run: NotRun, now: TimestampMs) {
+        let pending = self.pending_attempts.swap_remove(index);
+        self.excluded.push(pending.attempt.node.clone());
+        if !pending.foreign {
             self.last_refusal = Some(not_run);
         }
         if self.claiming.is_some() {
-            return self.release_then_retry(&leg);
+            return self.release_then_retry(&pending);
         }
-        if self.legs.is_empty() {
+        if self.pending_attempts.is_empty() {
             self.retry(now);
         }
     }
 
-    fn leg_lost(&mut self, index: usize, unknown: Unknown, now: TimestampMs) {
-        let leg = self.legs.swap_remove(index);
-        self.excluded.push(leg.attempt.node);
-        self.lost = Some(unknown.clone());
+    fn attempt_lost(&mut self, index: usize, unknown: Unknown, now: TimestampMs) {
+        let pending = self.pending_attempts.swap_remove(index);
+        self.excluded.push(pending.attempt.node);
+        self.lost_outcome = Some(unknown.clone());
         if self.claiming.is_some() {
             return self.finish(unknown.into());
         }
-        if self.legs.is_empty() {
+        if self.pending_attempts.is_empty() {
             self.retry(now);
         }
     }
 
     fn broken(&mut self, attempt: AttemptId, now: TimestampMs) {
-        let Some(index) = self.leg_index(attempt) else {
+        let Some(index) = self.pending_index(attempt) else {
             return;
         };
-        let leg = &mut self.legs[index];
-        if matches!(leg.state, LegState::Executing { .. }) {
+        let pending = &mut self.pending_attempts[index];
+        if matches!(pending.state, PendingState::Executing { .. }) {
             return self.resolve(index);
         }
-        if matches!(leg.state, LegState::ResolveLater { .. }) {
+        if matches!(pending.state, PendingState::ResolveScheduled { .. }) {
             return;
         }
-        leg.failed_resolve_count += 1;
-        let count = leg.failed_resolve_count;
-        let pause = self.backoff(count);
-        self.legs[index].state = LegState::ResolveLater { resolve_at: now + pause };
-        // The agent is out of reach; an idempotent request need not wait for it.
-        let may_go_elsewhere = self.claiming.is_none() && count == 1;
-        if may_go_elsewhere && self.attempt_count < self.settings.attempt_count {
-            self.excluded.push(self.legs[index].attempt.node.clone());
+        pending.failed_resolve_count += 1;
+        let count = pending.failed_resolve_count;
+        let delay = self.backoff(count);
+        self.pending_attempts[index].state =
+            PendingState::ResolveScheduled { resolve_at: now + delay };
+        // The agent is unreachable; an idempotent request need not wait for it.
+        let may_try_another = self.claiming.is_none() && count == 1;
+        if may_try_another && self.attempt_count < self.settings.attempt_limit {
+            self.excluded.push(self.pending_attempts[index].attempt.node.clone());
             self.choose(ChoiceKind::Retry);
         }
     }
 
     fn resolve(&mut self, index: usize) {
-        let leg = &mut self.legs[index];
-        leg.state = LegState::Resolving;
-        self.commands.push(DispatchCommand::Resolve(leg.attempt.clone()));
+        let pending = &mut self.pending_attempts[index];
+        pending.state = PendingState::Resolving;
+        self.commands.push(DispatchCommand::Resolve(pending.attempt.clone()));
     }
 
     fn timer(&mut self, now: TimestampMs) {
-        for index in 0..self.legs.len() {
-            if self.legs[index].next_timer().is_some_and(|at| at <= now) {
+        for index in 0..self.pending_attempts.len() {
+            if self.pending_attempts[index].next_timer().is_some_and(|at| at <= now) {
                 self.resolve(index);
             }
         }
@@ -326,32 +329,32 @@
     }
 
     fn hedge(&mut self) {
-        if self.legs.len() != 1 || self.attempt_count >= self.settings.attempt_count {
+        if self.pending_attempts.len() != 1 || self.attempt_count >= self.settings.attempt_limit {
             return;
         }
-        self.excluded.push(self.legs[0].attempt.node.clone());
+        self.excluded.push(self.pending_attempts[0].attempt.node.clone());
         self.choose(ChoiceKind::Hedge);
     }
 
-    /// Chooses again after a pause, or gives up.
+    /// Schedules another choice after a backoff, or finishes if attempts or time are exhausted.
     pub(super) fn retry(&mut self, now: TimestampMs) {
         if self.choosing || self.choose_at.is_some() {
             return;
         }
-        if self.attempt_count >= self.settings.attempt_count {
+        if self.attempt_count >= self.settings.attempt_limit {
             return self.finish_without_attempts();
         }
         self.backoff_count += 1;
-        let pause = self.backoff(self.backoff_count);
-        if now + pause >= self.deadline {
+        let delay = self.backoff(self.backoff_count);
+        if now + delay >= self.deadline {
             return self.finish_without_attempts();
         }
-        self.choose_at = Some(now + pause);
+        self.choose_at = Some(now + delay);
     }
 
-    /// Ends a request of which no attempt is under way.
+    /// Finishes a request that has no pending attempt.
     pub(super) fn finish_without_attempts(&mut self) {
-        if let Some(unknown) = self.lost.clone() {
+        if let Some(unknown) = self.lost_outcome.clone() {
             return self.finish(unknown.into());
         }
         let refusal = self.last_refusal.clone().unwrap_or_else(|| {
@@ -360,8 +363,8 @@
         self.finish(refusal.into());
     }
 
-    /// An attempt that is addressed to nobody.
-    pub(super) fn lookup_attempt(&mut self) -> ClaimedAttempt {
+    /// Creates the placeholder attempt of a lookup, addressed to no agent.
+    pub(super) fn placeholder_attempt(&mut self) -> ClaimedAttempt {
         ClaimedAttempt {
             attempt: AttemptId::new(self.random.random()),
             node: self.node.clone(),
@@ -370,8 +373,8 @@
         }
     }
 
-    /// A pause that doubles each time, of which a random half is taken off so that callers who
-    /// failed together do not come back together.
+    /// Returns a delay that doubles with each retry, reduced by a random amount of up to one half,
+    /// so that requests that failed together do not retry together.
     pub(super) fn backoff(&mut self, count: u32) -> DurationMs {
         let base = self.settings.backoff_base.get();
         let full = base.saturating_mul(1 << count.saturating_sub(1).min(16));
--- a/crates/yuccatack_requests/src/http_mapping.rs
+++ b/crates/yuccatack_requests/src/http_mapping.rs
@@ -1,4 +1,4 @@
-//! The one place that maps outcomes to HTTP status and headers.
+//! Mapping of outcomes to HTTP status codes and headers; no other module assigns them.
 
 use std::sync::Arc;
 
@@ -6,28 +6,30 @@
 
 use crate::outcome::{Header, NotRun, NotRunReason, Outcome, Unknown};
 
-/// The header that names the outcome: `completed`, `not_run` or `unknown`.
+/// Header that names the outcome: `completed`, `not_run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "yuccatack-outcome";
-/// The header that names the reason of an outcome other than `completed`.
+/// Header with the reason of an outcome other than `completed`.
 pub const REASON_HEADER: &str = "yuccatack-reason";
-/// The header that tells whether a refusal speaks of this sending or of the key.
+/// Header with the scope of a refusal: `sending` for this submission only, `key` for every
+/// submission with the same key so far.
 pub const SCOPE_HEADER: &str = "yuccatack-not-run-scope";
-/// The header that gives the exact wait in milliseconds; `retry-after` only has whole seconds.
+/// Header with the exact retry delay in milliseconds, because `retry-after` has a resolution of one
+/// second.
 pub const RETRY_AFTER_MS_HEADER: &str = "yuccatack-retry-after-ms";
 
-/// An HTTP response without any particular server's types.
+/// HTTP response, independent of the types of any HTTP server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HttpResponse {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The headers, without `content-length`.
+    /// Headers, without `content-length`.
     pub headers: Vec<Header>,
-    /// The body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
 impl HttpResponse {
-    /// The response as HTTP/1.1 that closes its connection, for use outside an HTTP server.
+    /// Encodes the response as HTTP/1.1 with `connection: close`, for use outside an HTTP server.
     pub fn to_bytes(&self) -> Vec<u8> {
         let length = self.body.len();
         let mut bytes = format!(
--- a/crates/yuccatack_requests/src/lib.rs
+++ b/crates/yuccatack_requests/src/lib.rs
@@ -1,7 +1,7 @@
-//! Requests: outcomes, claims, attempts and routing.
+//! Decisions about requests: outcomes, claims, attempts, routing and dispatch.
 //!
-//! Everything outside [`wire`] and [`claims::ClaimClient`] is pure: `(state, message, now)` gives
-//! outputs, with no I/O, no clock and no global random source.
+//! Everything outside [`wire`] and [`claims::ClaimClient`] is pure: state machines map
+//! `(state, message, now)` to outputs, without I/O, clocks or global random sources.
 
 pub mod answer_check;
 pub mod attempt;
@@ -13,18 +13,18 @@
 pub mod routing;
 pub mod wire;
 
-/// Generated wire types and services; regenerate with `cargo run --package codegen`.
+/// Generated message types and services; regenerate with `cargo run --package codegen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic, rustdoc::all)]
 pub mod generated {
-    /// The `agent` protocol.
+    /// Protocol between entries and agents: execution and resolution of attempts.
     #[path = "yuccatack.agent.v1.rs"]
     pub mod agent;
-    /// The `claims` protocol.
+    /// Protocol between entries and the control leader: claims of idempotency keys.
     #[path = "yuccatack.claims.v1.rs"]
     pub mod claims;
 }
 
-/// The types that agents and entries use most.
+/// Types that agents and entries use most.
 pub mod prelude {
     pub use crate::attempt::{AttemptHead, RequestContent};
     pub use crate::outcome::{
--- a/crates/yuccatack_requests/src/outcome.rs
+++ b/crates/yuccatack_requests/src/outcome.rs
@@ -1,59 +1,59 @@
-//! What became of a request.
+//! Outcomes of requests.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 
-/// A header of a request or an answer.
+/// HTTP header of a request or an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Header {
-    /// The name, in lower case.
+    /// Name in lower case.
     pub name: Arc<str>,
-    /// The value, not necessarily text.
+    /// Raw value, not necessarily valid UTF-8.
     pub value: Bytes,
 }
 
-/// A minion's whole answer.
+/// Complete answer of a minion.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The headers that are passed on.
+    /// Headers that are forwarded to the caller.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// Complete response body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// About how much memory the answer occupies.
+    /// Returns the approximate memory that the answer occupies.
     pub fn memory_bytes(&self) -> u64 {
         let headers: usize = self.headers.iter().map(|h| h.name.len() + h.value.len()).sum();
         (headers + self.body.len()) as u64
     }
 }
 
-/// Why a request did not run.
+/// Reason for which a request did not run.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum NotRunReason {
     /// The request is malformed or lacks a header.
     Invalid,
-    /// The request was not received whole within the limit.
+    /// The request was not received completely within the time limit.
     ReceiveTimeout,
-    /// The body or the headers are too large.
+    /// The body or the headers exceed their size limit.
     TooLarge,
-    /// The organisation sends more requests a second than it may.
+    /// The organisation exceeds its request rate.
     RateLimited,
-    /// The organisation has too many requests in flight.
+    /// The organisation exceeds its number of concurrent requests.
     ConcurrencyLimited,
-    /// The queue is full.
+    /// The queue of the service is at its length limit.
     QueueFull,
-    /// The deadline passed, or would have passed, before a minion got the request.
+    /// The deadline passed, or would have passed, before a minion received the request.
     Deadline,
-    /// No minion of the service takes new work.
+    /// No minion of the service accepts new requests.
     NoMinion,
-    /// The minion runs as many requests as it may.
+    /// Every slot of the minion is in use.
     NoSlot,
-    /// The minion leaves.
+    /// The minion is draining and accepts no new requests.
     Leaving,
     /// The agent could not connect to the minion.
     MinionUnreachable,
@@ -61,22 +61,22 @@
     AgentUnreachable,
     /// The agent has restarted since the attempt was addressed.
     WrongIncarnation,
-    /// The attempt was resolved as never received, so it may not run any more.
+    /// The attempt was resolved before it arrived, so it must never run.
     Barred,
     /// The node has had no confirmed configuration for too long.
     StaleView,
-    /// The key is older than claims are kept.
+    /// The idempotency key is older than the retention period of claims.
     KeyTooOld,
-    /// The key was used for other content.
+    /// The idempotency key was used for a request with other content.
     KeyReused,
-    /// The replicated claims are full or out of reach.
+    /// The replicated claim table is full or unreachable.
     ClaimsUnavailable,
-    /// The entry shuts down.
+    /// The entry is shutting down.
     ShuttingDown,
 }
 
 impl NotRunReason {
-    /// The stable word in headers, logs and metrics.
+    /// Returns the stable identifier used in headers, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Invalid => "invalid",
@@ -102,18 +102,18 @@
     }
 }
 
-/// What a refusal speaks of.
+/// Submissions of a request that a refusal applies to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NotRunScope {
-    /// This sending. An earlier sending with the same key keeps its own outcome, because the
-    /// refusal came before the claims were asked.
+    /// This submission only. An earlier submission with the same key keeps its own outcome, because
+    /// the refusal was made before the claim table was queried.
     Sending,
-    /// This sending and every earlier one with the same key.
+    /// This submission and every earlier one with the same key.
     Key,
 }
 
 impl NotRunScope {
-    /// The stable word in headers.
+    /// Returns the stable identifier used in headers.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Sending => "sending",
@@ -122,52 +122,52 @@
     }
 }
 
-/// The request provably did not run, not even partly.
+/// Outcome of a request that provably did not run, not even partly.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NotRun {
-    /// The reason.
+    /// Reason, which also determines the HTTP status.
     pub reason: NotRunReason,
-    /// When the caller may try again; `None` when trying again cannot help.
+    /// Delay in milliseconds before the caller may retry; `None` if retrying cannot help.
     pub retry_after_ms: Option<u64>,
-    /// What the refusal speaks of.
+    /// Submissions that the refusal applies to.
     pub scope: NotRunScope,
-    /// A sentence for people.
+    /// Human-readable explanation.
     pub detail: Arc<str>,
 }
 
 impl NotRun {
-    /// A refusal that the caller may repeat after `retry_after_ms`.
+    /// Creates a refusal after which the caller may retry once `retry_after_ms` has passed.
     pub fn retryable(reason: NotRunReason, retry_after_ms: u64, detail: &str) -> Self {
         let retry_after_ms = Some(retry_after_ms);
         Self { reason, retry_after_ms, scope: NotRunScope::Sending, detail: Arc::from(detail) }
     }
 
-    /// A refusal that stays, however often the caller tries.
+    /// Creates a refusal that a retry cannot change.
     pub fn permanent(reason: NotRunReason, detail: &str) -> Self {
         let scope = NotRunScope::Sending;
         Self { reason, retry_after_ms: None, scope, detail: Arc::from(detail) }
     }
 }
 
-/// Why it is unknown whether a request ran.
+/// Reason for which it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum UnknownReason {
     /// The deadline passed while an attempt was with an agent.
     Deadline,
     /// The connection to the minion broke after the request was sent.
     MinionConnection,
-    /// The minion's answer was truncated, too large or not valid.
+    /// The minion's answer was truncated, too large or malformed.
     InvalidAnswer,
     /// The agent that ran the attempt has restarted.
     AgentRestarted,
-    /// The agent ran the attempt and no longer remembers the answer.
+    /// The agent ran, or may have run, the attempt and no longer stores its answer.
     AnswerForgotten,
-    /// The process ended before the answer came.
+    /// The process ended before the answer arrived.
     ShutDown,
 }
 
 impl UnknownReason {
-    /// The stable word in headers, logs and metrics.
+    /// Returns the stable identifier used in headers, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Deadline => "deadline",
@@ -179,8 +179,8 @@
         }
     }
 
-    /// The reason that [`as_str`](Self::as_str) names.
-    pub fn from_word(word: &str) -> Option<Self> {
+    /// Returns the reason with the identifier `name`, as returned by [`as_str`](Self::as_str).
+    pub fn from_name(name: &str) -> Option<Self> {
         let all = [
             Self::Deadline,
             Self::MinionConnection,
@@ -189,34 +189,34 @@
             Self::AnswerForgotten,
             Self::ShutDown,
         ];
-        all.into_iter().find(|reason| reason.as_str() == word)
+        all.into_iter().find(|reason| reason.as_str() == name)
     }
 }
 
-/// The request may or may not have run.
+/// Outcome of a request that may or may not have run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Unknown {
-    /// The reason.
+    /// Cause of the missing answer.
     pub reason: UnknownReason,
-    /// A sentence for people.
+    /// Human-readable explanation.
     pub detail: Arc<str>,
 }
 
 impl Unknown {
-    /// Builds the outcome.
+    /// Creates the outcome with an explanation for the caller.
     pub fn new(reason: UnknownReason, detail: &str) -> Self {
         Self { reason, detail: Arc::from(detail) }
     }
 }
 
-/// What became of a request.
+/// Final outcome of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The minion answered, and this is its whole answer.
+    /// The minion answered completely.
     Completed(Answer),
-    /// Nothing was handed to a minion.
+    /// No part of the request was sent to a minion.
     NotRun(NotRun),
-    /// Something was handed to a minion, or may have been, and no whole answer came back.
+    /// The request was sent to a minion, or may have been, and no complete answer was received.
     Unknown(Unknown),
 }
 
--- a/crates/yuccatack_requests/src/routing/message.rs
+++ b/crates/yuccatack_requests/src/routing/message.rs
@@ -1,76 +1,78 @@
-//! What the router is told.
+//! Inputs and settings of the router.
 
 use yuccatack_core::prelude::*;
 
 use crate::dispatch::Target;
 
-/// A minion as the view shows it.
+/// State of a minion as published in the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MinionLoad {
-    /// Its agent.
+    /// Agent that attempts for the minion are sent to.
     pub target: Target,
-    /// Where it runs.
+    /// Data centre of the minion; the router prefers its own.
     pub data_centre: DataCentreName,
-    /// The service that it belongs to.
+    /// Service that the minion belongs to.
     pub service: ServiceName,
-    /// Whether it takes new work.
+    /// `true` if the minion accepts new attempts.
     pub ready: bool,
-    /// The requests that it runs at once.
+    /// Number of requests that the minion runs concurrently.
     pub slot_count: u32,
-    /// The requests that it ran when the agent last reported, from all entries; a hint.
+    /// Number of slots in use by all entries at the agent's last report; may be outdated.
     pub slots_in_use: u32,
-    /// A moving average of its answer times; zero when unknown.
+    /// Moving average of the response time in microseconds; zero when unknown.
     pub latency_us: u64,
 }
 
-/// How an attempt ended, seen from the entry.
+/// Result of an attempt, as observed by the entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Feedback {
     /// The minion answered.
     Completed {
-        /// The time from dispatch to answer.
+        /// Time from dispatch to the complete answer, in microseconds.
         latency_us: u64,
     },
-    /// Every slot was in use.
+    /// The agent refused because every slot was in use.
     NoSlot,
-    /// The agent refused for another reason, so that it takes no work for a while.
+    /// The agent refused for another reason; the router skips its minion for
+    /// [`RoutingSettings::refusal_pause`].
     Refused,
-    /// The agent or its minion could not be reached, or the attempt was lost.
+    /// The agent or its minion was unreachable, or the outcome of the attempt was lost.
     Failed,
-    /// The attempt was given up, or never sent, and says nothing about the minion.
+    /// The attempt was abandoned or never sent, which indicates nothing about the minion.
     Neutral,
 }
 
-/// How a minion is picked among those that may be; the others are baselines for comparison.
+/// Selection among eligible minions. All but the default serve as baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum RoutingPolicy {
-    /// The less loaded of two random ones, by load and answer time.
+    /// Picks the cheaper of two random minions, by load and response time.
     #[default]
     PowerOfTwoChoices,
-    /// A random one.
+    /// Picks a minion uniformly at random.
     Random,
-    /// One after the other.
+    /// Picks the minions in turn.
     RoundRobin,
 }
 
-/// Times and bounds of the router.
+/// Policy, time limits and bounds of the router.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RoutingSettings {
-    /// How a minion is picked.
+    /// Selection among the eligible minions.
     pub policy: RoutingPolicy,
-    /// The failures in a row after which a minion is ejected.
+    /// Number of consecutive failures after which a minion is ejected.
     pub ejection_failure_count: u32,
-    /// How long the first ejection lasts; each further one in a row doubles it.
+    /// Duration of the first ejection; each further consecutive ejection doubles it.
     pub ejection_base: DurationMs,
-    /// The longest ejection.
+    /// Maximum duration of an ejection.
     pub ejection_limit: DurationMs,
-    /// The largest share of a service's minions that may be ejected, in percent. If more fail,
-    /// the cause is more likely common to all, and ejecting them would take the service down.
+    /// Maximum share of a service's minions that may be ejected, in percent. If more of them fail,
+    /// they probably share a cause, and ejecting them would take the service down.
     pub ejection_share_percent: usize,
-    /// How long a minion that had no slot is taken for full, unless an attempt ends earlier.
-    pub full_for: DurationMs,
-    /// How long a minion that refused is passed over.
-    pub refused_for: DurationMs,
+    /// Time for which a minion that had no free slot is skipped, unless an attempt completes
+    /// earlier.
+    pub no_slot_pause: DurationMs,
+    /// Time for which a minion is skipped after its agent refused for another reason.
+    pub refusal_pause: DurationMs,
 }
 
 impl Default for RoutingSettings {
@@ -81,8 +83,8 @@
             ejection_base: DurationMs::new(500),
             ejection_limit: DurationMs::from_seconds(30),
             ejection_share_percent: 50,
-            full_for: DurationMs::new(20),
-            refused_for: DurationMs::new(500),
+            no_slot_pause: DurationMs::new(20),
+            refusal_pause: DurationMs::new(500),
         }
     }
 }
--- a/crates/yuccatack_requests/src/routing/mod.rs
+++ b/crates/yuccatack_requests/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! The choice of a minion for an attempt.
+//! Selection of the minion for an attempt.
 
 mod message;
 mod state;
--- a/crates/yuccatack_requests/src/routing/state.rs
+++ b/crates/yuccatack_requests/src/routing/state.rs
@@ -1,4 +1,4 @@
-//! The router.
+//! State and selection logic of the router.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use crate::dispatch::Target;
 use crate::outcome::{NotRun, NotRunReason};
 
-/// The weight of a new answer time in the moving average, as one part in this many.
-const LATENCY_SMOOTHING: u64 = 8;
+/// Divisor of the moving average: a new response time has the weight of one part in this many.
+const LATENCY_SMOOTHING_DIVISOR: u64 = 8;
 
 #[derive(Clone, Debug)]
 struct Minion {
@@ -21,9 +21,9 @@
     failure_count: u32,
     ejection_count: u32,
     ejected_until: Option<TimestampMs>,
-    /// Whether the one attempt that tests an ejected minion is under way.
+    /// `true` while the single attempt that probes an ejected minion is in flight.
     probing: bool,
-    passed_over_until: Option<TimestampMs>,
+    skipped_until: Option<TimestampMs>,
 }
 
 impl Minion {
@@ -36,7 +36,7 @@
             ejection_count: 0,
             ejected_until: None,
             probing: false,
-            passed_over_until: None,
+            skipped_until: None,
         }
     }
 
@@ -49,17 +49,17 @@
     }
 
     fn has_slot(&self) -> bool {
-        // The reported figure includes this entry's own attempts and may be a second old, so only
-        // the own count can prove that a minion is full. The agent enforces the limit.
+        // The reported count includes this entry's attempts and may be a second old, so only the
+        // local count can prove that a minion is full. The agent enforces the limit.
         self.in_flight < self.load.slot_count
     }
 
-    fn passed_over(&self, now: TimestampMs) -> bool {
-        self.passed_over_until.is_some_and(|until| now < until)
+    fn is_skipped(&self, now: TimestampMs) -> bool {
+        self.skipped_until.is_some_and(|until| now < until)
     }
 
-    fn may_take(&self, now: TimestampMs) -> bool {
-        if !self.load.ready || !self.has_slot() || self.passed_over(now) {
+    fn accepts_attempt(&self, now: TimestampMs) -> bool {
+        if !self.load.ready || !self.has_slot() || self.is_skipped(now) {
             return false;
         }
         match self.ejected_until {
@@ -68,15 +68,15 @@
         }
     }
 
-    /// The expected wait, up to a common factor.
+    /// Returns the expected waiting time, up to a common factor.
     fn cost(&self) -> u128 {
-        let busy = u128::from(self.usage()) + 1;
+        let occupied = u128::from(self.usage()) + 1;
         let latency = u128::from(self.latency_us.max(1));
-        busy * latency * 1_000 / u128::from(self.load.slot_count.max(1))
+        occupied * latency * 1_000 / u128::from(self.load.slot_count.max(1))
     }
 }
 
-/// Chooses minions from the view, its own attempts in flight, and what became of them.
+/// Selects minions by the view, the local attempts in flight and the results of past attempts.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: RoutingSettings,
@@ -87,7 +87,7 @@
 }
 
 impl Router {
-    /// A router of an entry in `data_centre`.
+    /// Creates the router of an entry in `data_centre`.
     pub fn new(settings: RoutingSettings, data_centre: DataCentreName, seed: u64) -> Self {
         Self {
             settings,
@@ -98,16 +98,16 @@
         }
     }
 
-    /// Takes the minions of a new view. What is known of a minion is kept while its agent's
-    /// incarnation stays the same.
+    /// Replaces the minions by those of a new view. The local state of a minion is kept while its
+    /// agent's incarnation stays the same.
     pub fn update(&mut self, loads: Vec<MinionLoad>) {
-        let mut known = std::mem::take(&mut self.minions);
+        let mut previous = std::mem::take(&mut self.minions);
         for load in loads {
             let node = load.target.node.clone();
-            let same = known
+            let retained = previous
                 .remove(&node)
                 .filter(|minion| minion.load.target.incarnation == load.target.incarnation);
-            let minion = match same {
+            let minion = match retained {
                 Some(minion) => Minion { load, ..minion },
                 None => Minion::new(load),
             };
@@ -115,19 +115,19 @@
         }
     }
 
-    /// The attempts in flight on a node.
+    /// Returns the number of this entry's attempts in flight on a node.
     pub fn in_flight(&self, node: &NodeName) -> u32 {
         self.minions.get(node).map_or(0, |minion| minion.in_flight)
     }
 
-    /// Whether a minion of the service may take an attempt now.
+    /// Returns `true` if a minion of the service accepts an attempt now, or if the service has no
+    /// ready minion, in which case [`choose`](Self::choose) returns the reason.
     pub fn may_choose(&self, service: &ServiceName, now: TimestampMs) -> bool {
         let mut serving = self.serving(service).peekable();
-        // Without any minion, choosing gives the reason.
-        serving.peek().is_none() || serving.any(|minion| minion.may_take(now))
+        serving.peek().is_none() || serving.any(|minion| minion.accepts_attempt(now))
     }
 
-    /// The mean of the answer times of the service's minions.
+    /// Returns the mean response time of the service's ready minions.
     pub fn mean_latency(&self, service: &ServiceName) -> DurationMs {
         let sum_us: u64 = self.serving(service).map(|minion| minion.latency_us).sum();
         let count = self.serving(service).count().max(1) as u64;
@@ -140,23 +140,23 @@
         minions.filter(move |minion| minion.load.ready && minion.load.service == service)
     }
 
-    /// Chooses a minion and counts the attempt as in flight until
-    /// [`record_feedback`](Self::record_feedback) is told of it.
+    /// Selects a minion and counts the attempt as in flight until its result is passed to
+    /// [`record_feedback`](Self::record_feedback).
     pub fn choose(
         &mut self,
         service: &ServiceName,
         excluded: &[NodeName],
         now: TimestampMs,
     ) -> Result<Target, NotRun> {
-        let mut serving = 0;
+        let mut serving_count = 0;
         let mut local = Vec::new();
         let mut remote = Vec::new();
         for (node, minion) in &self.minions {
             if minion.load.service != *service || !minion.load.ready {
                 continue;
             }
-            serving += 1;
-            if !minion.may_take(now) || excluded.contains(node) {
+            serving_count += 1;
+            if !minion.accepts_attempt(now) || excluded.contains(node) {
                 continue;
             }
             if minion.load.data_centre == self.data_centre {
@@ -165,7 +165,7 @@
                 remote.push(node.clone());
             }
         }
-        if serving == 0 {
+        if serving_count == 0 {
             return Err(NotRun::retryable(
                 NotRunReason::NoMinion,
                 1_000,
@@ -174,7 +174,7 @@
         }
         let candidates = if local.is_empty() { remote } else { local };
         if candidates.is_empty() && !excluded.is_empty() {
-            // A minion that refused once is better than none.
+            // Falls back to the excluded minions: one that refused earlier is better than none.
             return self.choose(service, &[], now);
         }
         let Some(node) = self.pick(&candidates, now) else {
@@ -184,12 +184,12 @@
                 "every minion of the service is full or failing",
             ));
         };
-        self.take(&node).ok_or_else(|| {
+        self.start_attempt(&node).ok_or_else(|| {
             NotRun::retryable(NotRunReason::NoMinion, 1_000, "the minion has left the view")
         })
     }
 
-    fn take(&mut self, node: &NodeName) -> Option<Target> {
+    fn start_attempt(&mut self, node: &NodeName) -> Option<Target> {
         let minion = self.minions.get_mut(node)?;
         minion.in_flight += 1;
         minion.probing = minion.is_ejected();
@@ -200,10 +200,10 @@
         if candidates.is_empty() {
             return None;
         }
-        // An ejected minion whose time is over gets one attempt as a probe.
+        // A minion whose ejection has expired receives a single attempt as a probe.
         let probe = candidates.iter().find(|node| {
             let minion = self.minions.get(*node);
-            minion.is_some_and(|minion| minion.is_ejected() && minion.may_take(now))
+            minion.is_some_and(|minion| minion.is_ejected() && minion.accepts_attempt(now))
         });
         if let Some(node) = probe {
             return Some(node.clone());
@@ -237,7 +237,7 @@
         Some(node.clone())
     }
 
-    /// Learns how an attempt ended.
+    /// Updates the state of a minion with the result of an attempt.
     pub fn record_feedback(&mut self, target: &Target, feedback: Feedback, now: TimestampMs) {
         let may_eject = self.may_eject_another(&target.node);
         let settings = self.settings;
@@ -248,21 +248,21 @@
             return;
         }
         minion.in_flight = minion.in_flight.saturating_sub(1);
-        let probed = std::mem::take(&mut minion.probing);
+        let was_probe = std::mem::take(&mut minion.probing);
         match feedback {
             Feedback::Completed { latency_us } => {
                 minion.failure_count = 0;
                 minion.ejection_count = 0;
                 minion.ejected_until = None;
-                minion.passed_over_until = None;
+                minion.skipped_until = None;
                 minion.latency_us = smoothed(minion.latency_us, latency_us);
             }
-            Feedback::NoSlot => minion.passed_over_until = Some(now + settings.full_for),
-            Feedback::Refused => minion.passed_over_until = Some(now + settings.refused_for),
+            Feedback::NoSlot => minion.skipped_until = Some(now + settings.no_slot_pause),
+            Feedback::Refused => minion.skipped_until = Some(now + settings.refusal_pause),
             Feedback::Failed => {
                 minion.failure_count += 1;
-                let due = minion.failure_count >= settings.ejection_failure_count;
-                if probed || (due && may_eject) {
+                let limit_reached = minion.failure_count >= settings.ejection_failure_count;
+                if was_probe || (limit_reached && may_eject) {
                     eject(minion, &settings, now);
                 }
             }
@@ -284,14 +284,14 @@
     if old == 0 {
         return new;
     }
-    (old * (LATENCY_SMOOTHING - 1) + new) / LATENCY_SMOOTHING
+    (old * (LATENCY_SMOOTHING_DIVISOR - 1) + new) / LATENCY_SMOOTHING_DIVISOR
 }
 
 fn eject(minion: &mut Minion, settings: &RoutingSettings, now: TimestampMs) {
     minion.ejection_count += 1;
     minion.failure_count = 0;
-    let doublings = minion.ejection_count.saturating_sub(1).min(16);
-    let length = settings.ejection_base.get().saturating_mul(1 << doublings);
+    let doubling_count = minion.ejection_count.saturating_sub(1).min(16);
+    let length = settings.ejection_base.get().saturating_mul(1 << doubling_count);
     let length = length.min(settings.ejection_limit.get());
     minion.ejected_until = Some(now + DurationMs::new(length));
 }
--- a/crates/yuccatack_requests/src/wire/attempts.rs
+++ b/crates/yuccatack_requests/src/wire/attempts.rs
@@ -1,4 +1,4 @@
-//! `agent.proto`.
+//! Conversions for `agent.proto`.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     Answer, Header, NotRun, NotRunReason, NotRunScope, Outcome, Unknown, UnknownReason,
 };
 
-/// The size of body chunks; well below the message limit of the transport (4 MiB).
+/// Size of body chunks, well below the transport's message limit of 4 MiB.
 const CHUNK_LENGTH_BYTES: usize = 256 * 1024;
 
 fn attempt_id(bytes: &[u8]) -> Result<AttemptId, WireError> {
@@ -25,7 +25,7 @@
     Bytes::copy_from_slice(attempt.as_bytes())
 }
 
-fn class_word(class: PriorityClass) -> &'static str {
+fn class_name(class: PriorityClass) -> &'static str {
     match class {
         PriorityClass::Urgent => "urgent",
         PriorityClass::Standard => "standard",
@@ -33,10 +33,10 @@
     }
 }
 
-/// The class that a word names.
-pub fn priority_class_from_name(word: &str) -> Result<PriorityClass, WireError> {
+/// Returns the priority class with the given name on the wire, for example `urgent`.
+pub fn priority_class_from_name(name: &str) -> Result<PriorityClass, WireError> {
     let mut all = PriorityClass::ALL.into_iter();
-    all.find(|class| class_word(*class) == word).ok_or(WireError::new("class"))
+    all.find(|class| class_name(*class) == name).ok_or(WireError::new("class"))
 }
 
 impl From<&Header> for wire::Header {
@@ -52,10 +52,10 @@
 }
 
 impl From<&BodyTrailer> for wire::BodyEnd {
-    fn from(seal: &BodyTrailer) -> Self {
+    fn from(trailer: &BodyTrailer) -> Self {
         Self {
-            length_bytes: seal.length_bytes,
-            blake3_digest: Bytes::copy_from_slice(&seal.digest),
+            length_bytes: trailer.length_bytes,
+            blake3_digest: Bytes::copy_from_slice(&trailer.digest),
         }
     }
 }
@@ -77,14 +77,14 @@
     })
 }
 
-/// Encodes an attempt as a head, chunks and an end.
+/// Encodes an attempt as a head, body chunks and a trailer.
 pub fn attempt_parts(head: &AttemptHead, content: &RequestContent) -> Vec<wire::AttemptPart> {
     let wire_head = wire::AttemptHead {
         attempt_id: attempt_bytes(head.attempt),
         agent_incarnation: head.incarnation.get(),
         organisation: content.organisation.to_string(),
         service: content.service.to_string(),
-        class: class_word(content.class).to_owned(),
+        class: class_name(content.class).to_owned(),
         method: content.method.as_ref().to_owned(),
         path: content.path.as_ref().to_owned(),
         headers: content.headers.iter().map(wire::Header::from).collect(),
@@ -98,7 +98,8 @@
     parts.into_iter().map(|part| wire::AttemptPart { part: Some(part) }).collect()
 }
 
-/// Decodes the head of an attempt; the body of the content is still empty.
+/// Decodes the head of an attempt. The body of the returned content is empty until its chunks
+/// arrive.
 pub fn decode_attempt_head(
     head: wire::AttemptHead,
 ) -> Result<(AttemptHead, RequestContent), WireError> {
@@ -162,7 +163,7 @@
     }))
 }
 
-/// Encodes what became of an attempt.
+/// Encodes the resolution of an attempt as a stream of parts.
 pub fn resolution_parts(
     attempt: AttemptId,
     organisation: &OrganisationName,
@@ -236,8 +237,8 @@
 
 impl From<wire::Unknown> for Unknown {
     fn from(unknown: wire::Unknown) -> Self {
-        // A word of a newer version still means that the attempt may have run.
-        let reason = UnknownReason::from_word(&unknown.reason);
+        // A reason added by a newer version still means that the attempt may have run.
+        let reason = UnknownReason::from_name(&unknown.reason);
         Self::new(reason.unwrap_or(UnknownReason::AnswerForgotten), &unknown.detail)
     }
 }
@@ -279,8 +280,8 @@
             wire::NotRunReason::Barred => Ok(Self::Barred),
             wire::NotRunReason::StaleView => Ok(Self::StaleView),
             wire::NotRunReason::Invalid => Ok(Self::Invalid),
-            // An agent tells what became of an attempt that arrives twice, and an unspecified
-            // reason proves nothing.
+            // Neither proves that the attempt did not run: for a duplicate the agent returns the
+            // resolution of the first copy instead, and an unspecified reason proves nothing.
             wire::NotRunReason::Duplicate | wire::NotRunReason::Unspecified => {
                 Err(WireError::new("reason"))
             }
--- a/crates/yuccatack_requests/src/wire/claims.rs
+++ b/crates/yuccatack_requests/src/wire/claims.rs
@@ -1,4 +1,4 @@
-//! `claims.proto`.
+//! Conversions for `claims.proto`.
 
 use bytes::Bytes;
 use yuccatack_core::prelude::*;
@@ -10,7 +10,7 @@
 };
 use crate::generated::claims as wire;
 
-/// How long a caller waits before a claim whose key lies in the future can be taken.
+/// Suggested retry delay for a key whose issue time lies in the future.
 const FUTURE_KEY_RETRY_MS: u64 = 1_000;
 
 fn organisation(text: &str) -> Result<OrganisationName, WireError> {
@@ -69,12 +69,12 @@
     }
 }
 
-/// A command in the form in which it is sent.
+/// Claim command as the request message of its RPC method.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimCall {
-    /// For the method `Claim`.
+    /// Request of the method `Claim`.
     Claim(wire::ClaimRequest),
-    /// For the method `Settle`.
+    /// Request of the method `Settle`.
     Settle(wire::SettleRequest),
 }
 
--- a/crates/yuccatack_requests/src/wire/error.rs
+++ b/crates/yuccatack_requests/src/wire/error.rs
@@ -1,12 +1,12 @@
-//! Errors of decoding.
+//! Errors of message decoding.
 
 use snafu::Snafu;
 
-/// A message that does not decode.
+/// Error for a message with a missing or malformed field.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("the field `{field}` is missing or malformed; run the same version everywhere"))]
 pub struct WireError {
-    /// The field.
+    /// Name of the field in the `.proto` file.
     pub field: &'static str,
 }
 
--- a/crates/yuccatack_requests/src/wire/mod.rs
+++ b/crates/yuccatack_requests/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! Encoding of the pure types for `agent.proto` and `claims.proto`.
+//! Conversions between the types of this crate and the messages of `agent.proto` and
+//! `claims.proto`.
 
 pub mod attempts;
 pub mod claims;
--- a/crates/yuccatack_requests/tests/claim_table.rs
+++ b/crates/yuccatack_requests/tests/claim_table.rs
@@ -1,4 +1,4 @@
-//! The replicated table of claims.
+//! Claim table: grants, expiry, limits and the key format.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -43,7 +43,8 @@
     format!("{}-{text}", NOW.get().saturating_add_signed(offset_ms))
 }
 
-/// Guards against a key that is granted twice, and against one that stays blocked.
+/// Guards against granting a key to two attempts, and against a key that stays blocked after its
+/// attempt was released.
 #[test]
 fn one_holder() {
     let mut table = ClaimTable::new(LIMITS);
@@ -69,8 +70,8 @@
     }
 }
 
-/// Guards against an old key that runs again after its claim has expired, also when a later
-/// leader's clock is behind.
+/// Guards against a second run of an old key after its claim has expired, including the case in
+/// which a later leader's clock is behind.
 #[test]
 fn old_keys() {
     let mut table = ClaimTable::new(LIMITS);
@@ -85,7 +86,8 @@
     assert_eq!(table.apply(future, later), ClaimOutcome::Refused(ClaimRefusal::KeyFromFuture));
 }
 
-/// Guards against a table without bound, and against a refusal without a time to come back.
+/// Guards against a table that grows beyond its limit, and against a refusal without a correct
+/// retry delay.
 #[test]
 fn full_table() {
     let mut table = ClaimTable::new(LIMITS);
@@ -100,7 +102,7 @@
     assert_eq!(table.len(), 3);
 }
 
-/// Guards against keys whose issue time cannot be told.
+/// Guards against accepting keys without a valid issue time or above the length limit.
 #[test]
 fn key_form() {
     for text in ["", "-", "5", "5-", "-a", "a-b", "5 -a", "99999999999999999999999-a", "5-ä"] {
--- a/crates/yuccatack_requests/tests/dispatch_steps.rs
+++ b/crates/yuccatack_requests/tests/dispatch_steps.rs
@@ -1,4 +1,4 @@
-//! Single steps of the dispatch state machine; lossy_network drives it as a whole.
+//! Single transitions of the dispatch state machine; `lossy_network` covers complete runs.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -32,8 +32,8 @@
     dispatch
 }
 
-/// Plays timers until `end`, and gives every command.
-fn play(dispatch: &mut Dispatch, end: TimestampMs) -> Vec<DispatchCommand> {
+/// Fires timers until `end` and returns all commands.
+fn run_timers(dispatch: &mut Dispatch, end: TimestampMs) -> Vec<DispatchCommand> {
     let mut commands = Vec::new();
     while !dispatch.is_finished() && dispatch.next_timer() <= end {
         let now = dispatch.next_timer();
@@ -42,32 +42,32 @@
     commands
 }
 
-/// Guards against slow idempotent requests that are never hedged, or hedged on the same node.
+/// Guards against slow idempotent requests that are never hedged, or are hedged on the same node.
 #[test]
 fn hedge() {
     let mut dispatch = started(true);
     dispatch.handle(chosen(1, "one"), TimestampMs::new(0));
-    let commands = play(&mut dispatch, TimestampMs::new(2_000));
+    let commands = run_timers(&mut dispatch, TimestampMs::new(2_000));
     let hedge = DispatchCommand::Choose(ChoiceKind::Hedge, vec![target("one").node]);
     assert!(commands.contains(&hedge), "{commands:?}");
 }
 
-/// Guards against a non-idempotent request that is sent before its claim is granted, or sent again
-/// while its attempt is silent.
+/// Guards against a non-idempotent request that is sent before its claim is granted, or that is
+/// sent again while its attempt has not been answered.
 #[test]
 fn claim_first() {
     let mut dispatch = started(false);
-    let attempt = target("one").claimed(AttemptId::new([1; 16]));
+    let attempt = target("one").to_claimed_attempt(AttemptId::new([1; 16]));
     let commands = dispatch.handle(chosen(1, "one"), TimestampMs::new(0));
     assert_eq!(commands, [DispatchCommand::Claim(attempt.clone())]);
-    let lost = DispatchEvent::Claimed(Err(ClaimCallError::Unconfirmed));
-    assert_eq!(dispatch.handle(lost, TimestampMs::new(1)), []);
-    let again = play(&mut dispatch, TimestampMs::new(50));
-    assert_eq!(again, [DispatchCommand::Claim(attempt.clone())]);
+    let unconfirmed = DispatchEvent::Claimed(Err(ClaimCallError::Unconfirmed));
+    assert_eq!(dispatch.handle(unconfirmed, TimestampMs::new(1)), []);
+    let retried = run_timers(&mut dispatch, TimestampMs::new(50));
+    assert_eq!(retried, [DispatchCommand::Claim(attempt.clone())]);
     let granted = DispatchEvent::Claimed(Ok(ClaimOutcome::Granted));
     let commands = dispatch.handle(granted, TimestampMs::new(60));
     assert_eq!(commands, [DispatchCommand::Execute(attempt.clone())]);
-    let later = play(&mut dispatch, TimestampMs::new(20_000));
+    let later = run_timers(&mut dispatch, TimestampMs::new(20_000));
     let executed = later.iter().any(|command| matches!(command, DispatchCommand::Execute(_)));
     assert!(!executed, "{later:?}");
     assert!(matches!(
@@ -77,7 +77,7 @@
     ));
 }
 
-/// Guards against a request that is retried without bound or without a pause.
+/// Guards against retries without a limit on their number or without a delay between them.
 #[test]
 fn bounded_retries() {
     let mut dispatch = started(true);
@@ -94,7 +94,7 @@
             assert!(matches!(commands[..], [DispatchCommand::Finish(Outcome::NotRun(_))]));
             break;
         }
-        assert_eq!(commands, [], "a retry without a pause");
+        assert_eq!(commands, [], "retried without a delay");
         now = dispatch.next_timer();
         dispatch.handle(DispatchEvent::Timer, now);
     }
--- a/crates/yuccatack_requests/tests/http_outcomes.rs
+++ b/crates/yuccatack_requests/tests/http_outcomes.rs
@@ -1,4 +1,4 @@
-//! The HTTP form of outcomes.
+//! Mapping of outcomes to HTTP status codes and headers.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -13,7 +13,7 @@
     Some(std::str::from_utf8(&header.value).unwrap())
 }
 
-/// Guards against a status or header that tells the caller something else than the outcome.
+/// Guards against a status code or header that contradicts the outcome.
 #[test]
 fn not_run() {
     let cases = [
@@ -39,7 +39,7 @@
     }
 }
 
-/// Guards against an unknown outcome that looks like a refusal.
+/// Guards against an unknown outcome that a caller could take for a refusal and retry blindly.
 #[test]
 fn unknown() {
     let unknown = Unknown::new(UnknownReason::AgentRestarted, "x");
@@ -49,7 +49,7 @@
     assert_eq!(value(&response, "retry-after"), None);
 }
 
-/// Guards against a minion that sets the outcome itself.
+/// Guards against a minion that overrides the outcome by sending the `yuccatack-outcome` header.
 #[test]
 fn completed() {
     let headers = vec![Header {
--- a/crates/yuccatack_requests/tests/router_choice.rs
+++ b/crates/yuccatack_requests/tests/router_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of minions.
+//! Selection of minions by the router.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -38,8 +38,8 @@
     ServiceName::new("reviews").unwrap()
 }
 
-/// Guards against requests to other data centres while the own one has free slots, and against
-/// requests that are refused while another one has.
+/// Guards against requests to remote data centres while the local one has free slots, and against
+/// refusals while a remote one has free slots.
 #[test]
 fn own_data_centre() {
     let mut router =
@@ -49,7 +49,7 @@
     }
 }
 
-/// Guards against work for minions that leave or serve something else.
+/// Guards against routing requests to minions that are draining or belong to another service.
 #[test]
 fn ready_only() {
     let mut router = router(vec![load("leaving", "langkawi", false, 0)]);
@@ -72,7 +72,8 @@
     router.choose(&service(), &[], NOW).unwrap();
 }
 
-/// Guards against a choice that ignores load: the busier of two minions gets fewer requests.
+/// Guards against a selection that ignores load: the busier of two minions must receive fewer
+/// requests.
 #[test]
 fn less_loaded() {
     let mut router =
@@ -86,8 +87,8 @@
     assert!(chosen["idle"] >= 70, "{chosen:?}");
 }
 
-/// Guards against a failing minion that keeps getting requests, one that never gets any again,
-/// and one that gets more than a probe at a time.
+/// Guards against a failing minion that is not ejected, one that is never probed again after its
+/// ejection, and one that receives more than a single probe at a time.
 #[test]
 fn outlier_ejection() {
     let mut router =
@@ -108,7 +109,7 @@
     assert_eq!(router.choose(&service(), &[], later).unwrap().node.as_str(), "bad");
 }
 
-/// Guards against a common fault that ejects every minion and takes the service down.
+/// Guards against a shared fault that ejects every minion and takes the service down.
 #[test]
 fn ejection_share() {
     let names = ["a", "b", "c", "d"];
@@ -118,9 +119,9 @@
     for target in targets.iter().cycle().take(40) {
         router.record_feedback(target, Feedback::Failed, NOW);
     }
-    let mut left = 0;
+    let mut routed_count = 0;
     while router.choose(&service(), &[], NOW).is_ok() {
-        left += 1;
+        routed_count += 1;
     }
-    assert_eq!(left, 2 * 8, "half of the minions stay");
+    assert_eq!(routed_count, 2 * 8, "half of the minions must remain in use");
 }
--- a/crates/yuccatack_requests/tests/world/agents.rs
+++ b/crates/yuccatack_requests/tests/simulation/agents.rs
@@ -1,4 +1,4 @@
-//! Agents with their minions.
+//! Simulated agents and their minions.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 use yuccatack_requests::dispatch::Target;
 use yuccatack_requests::prelude::*;
 
-use super::{Due, World};
+use super::{ScheduledEvent, Simulation};
 
-/// Small bounds, so that runs meet them.
+/// Limits small enough for the simulation to reach them.
 const LIMITS: AttemptLimits = AttemptLimits {
     slot_count: 4,
     answer_memory_bytes: 120,
@@ -27,11 +27,11 @@
     pub address: std::net::SocketAddr,
     pub process: u64,
     pub incarnation: Incarnation,
-    /// The incarnation that entries see; it lags behind after a restart.
-    pub seen_incarnation: Incarnation,
+    /// Incarnation published to entries; outdated for a while after a restart.
+    pub published_incarnation: Incarnation,
     pub table: AttemptTable,
     pub waiters: BTreeMap<AttemptId, Vec<usize>>,
-    pub fresh: bool,
+    pub view_fresh: bool,
 }
 
 impl Agent {
@@ -42,14 +42,14 @@
             address: ([127, 0, 0, 1], index as u16).into(),
             process: 0,
             incarnation,
-            seen_incarnation: incarnation,
+            published_incarnation: incarnation,
             table: AttemptTable::new(incarnation, LIMITS),
             waiters: BTreeMap::new(),
-            fresh: true,
+            view_fresh: true,
         }
     }
 
-    /// The process is killed and another takes its place; the table is gone.
+    /// Replaces the killed process by a new one with an empty table.
     pub fn restart(&mut self, incarnation: u64) {
         self.process += 1;
         self.incarnation = Incarnation::new(incarnation);
@@ -57,16 +57,16 @@
         self.waiters.clear();
     }
 
-    pub fn seen_target(&self) -> Target {
+    pub fn published_target(&self) -> Target {
         Target {
             node: self.node.clone(),
-            incarnation: self.seen_incarnation,
+            incarnation: self.published_incarnation,
             address: self.address,
         }
     }
 }
 
-impl World {
+impl Simulation {
     pub fn agent_at(&self, claimed: &ClaimedAttempt) -> usize {
         self.agents.iter().position(|agent| agent.address == claimed.address).unwrap()
     }
@@ -80,9 +80,9 @@
         let organisation = self.callers[caller].organisation.clone();
         let now = self.now();
         let agent = &mut self.agents[index];
-        let fresh = agent.fresh;
+        let view_fresh = agent.view_fresh;
         let decision =
-            agent.table.start(claimed.attempt, claimed.incarnation, &organisation, fresh, now);
+            agent.table.start(claimed.attempt, claimed.incarnation, &organisation, view_fresh, now);
         match decision {
             StartDecision::Run => {
                 agent.waiters.entry(claimed.attempt).or_default().push(call);
@@ -103,7 +103,8 @@
             let not_run = NotRun::retryable(NotRunReason::MinionUnreachable, 10, "no connection");
             let delay = self.delay();
             let outcome = not_run.into();
-            return self.schedule(delay, Due::ExchangeEnd { agent, process, attempt, outcome });
+            return self
+                .schedule(delay, ScheduledEvent::ExchangeEnd { agent, process, attempt, outcome });
         }
         self.runs.push((attempt, caller));
         let outcome = if self.chance(self.faults.minion_failure) {
@@ -113,7 +114,7 @@
             Outcome::Completed(Answer { status: 200, headers: Vec::new(), body })
         };
         let duration = self.random.random_range(1..300);
-        self.schedule(duration, Due::ExchangeEnd { agent, process, attempt, outcome });
+        self.schedule(duration, ScheduledEvent::ExchangeEnd { agent, process, attempt, outcome });
     }
 
     pub fn exchange_ends(
--- a/crates/yuccatack_requests/tests/world/callers.rs
+++ b/crates/yuccatack_requests/tests/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that resend, and the calls that entries carry out for them.
+//! Simulated callers, which resubmit their requests, and the calls that entries make for them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,11 +9,11 @@
 use yuccatack_requests::dispatch::{Dispatch, DispatchCommand, DispatchEvent};
 use yuccatack_requests::prelude::*;
 
-use super::{Due, World};
+use super::{ScheduledEvent, Simulation};
 
 const DEADLINE: DurationMs = DurationMs::new(1_500);
-const SENDING_LIMIT: usize = 4;
-/// How long an entry waits for a silent `Resolve` call.
+const SUBMISSION_LIMIT: usize = 4;
+/// Time after which an entry abandons an unanswered `Resolve` call.
 const RESOLVE_TIMEOUT_MS: u64 = 300;
 
 pub struct Caller {
@@ -21,10 +21,10 @@
     pub key: IdempotencyKey,
     pub body: Vec<u8>,
     pub idempotent: bool,
-    pub sending_count: usize,
-    /// Every attempt that was sent for this caller.
+    pub submission_count: usize,
+    /// All attempts sent for this caller.
     pub attempts: BTreeSet<AttemptId>,
-    /// The attempts of which it was said that they did not run.
+    /// Sets of attempts that were reported to the caller as not run.
     pub refused_attempts: Vec<BTreeSet<AttemptId>>,
 }
 
@@ -35,24 +35,24 @@
             key: IdempotencyKey::new(&format!("{at_ms}-{index}")).unwrap(),
             body: format!("content of caller {index}").into_bytes(),
             idempotent,
-            sending_count: 0,
+            submission_count: 0,
             attempts: BTreeSet::new(),
             refused_attempts: Vec::new(),
         }
     }
 }
 
-/// One sending of a caller's request, at one entry.
+/// One submission of a caller's request to one entry.
 pub struct Call {
     pub caller: usize,
     pub entry: usize,
     pub dispatch: Dispatch,
     pub alive: bool,
-    /// The attempts that this call sent.
-    pub sent: BTreeSet<AttemptId>,
-    /// The attempts of the same caller that were sent before this call's newest claim was granted.
-    /// A refusal for the key speaks of these; sendings that claim later have their own outcome.
-    pub earlier: BTreeSet<AttemptId>,
+    /// Attempts sent by this call.
+    pub sent_attempts: BTreeSet<AttemptId>,
+    /// Attempts of the same caller that were sent before this call's newest claim was granted. A
+    /// refusal with the scope of the key covers these; later submissions have their own outcome.
+    pub earlier_attempts: BTreeSet<AttemptId>,
     agents: BTreeMap<AttemptId, usize>,
 }
 
@@ -66,12 +66,12 @@
     }
 }
 
-impl World {
-    pub fn send(&mut self, caller: usize) {
-        if self.callers[caller].sending_count >= SENDING_LIMIT {
+impl Simulation {
+    pub fn submit(&mut self, caller: usize) {
+        if self.callers[caller].submission_count >= SUBMISSION_LIMIT {
             return;
         }
-        self.callers[caller].sending_count += 1;
+        self.callers[caller].submission_count += 1;
         let deadline = self.now() + DEADLINE;
         let dispatch = self.new_dispatch(self.callers[caller].idempotent, deadline);
         let entry = self.random.random_range(0..2);
@@ -81,16 +81,16 @@
             entry,
             dispatch,
             alive: true,
-            sent: BTreeSet::new(),
-            earlier: BTreeSet::new(),
+            sent_attempts: BTreeSet::new(),
+            earlier_attempts: BTreeSet::new(),
             agents: BTreeMap::new(),
         });
         let now = self.now();
         let commands = self.calls[call].dispatch.start(now);
-        self.carry_out(call, commands);
-        if self.chance(self.faults.impatience) {
+        self.execute_commands(call, commands);
+        if self.chance(self.faults.early_resubmission) {
             let delay = self.random.random_range(0..400);
-            self.schedule(delay, Due::Send { caller });
+            self.schedule(delay, ScheduledEvent::Submit { caller });
         }
     }
 
@@ -99,27 +99,27 @@
             if self.calls[index].entry == entry && self.calls[index].alive {
                 self.calls[index].alive = false;
                 let caller = self.calls[index].caller;
-                self.schedule(50, Due::Send { caller });
+                self.schedule(50, ScheduledEvent::Submit { caller });
             }
         }
     }
 
-    pub fn feed(&mut self, call: usize, event: DispatchEvent) {
+    pub fn handle_event(&mut self, call: usize, event: DispatchEvent) {
         if !self.calls[call].alive {
             return;
         }
         let now = self.now();
         let commands = self.calls[call].dispatch.handle(event, now);
-        self.carry_out(call, commands);
+        self.execute_commands(call, commands);
     }
 
     pub fn timer(&mut self, call: usize) {
         if self.calls[call].alive && self.calls[call].dispatch.next_timer() <= self.now() {
-            self.feed(call, DispatchEvent::Timer);
+            self.handle_event(call, DispatchEvent::Timer);
         }
     }
 
-    fn carry_out(&mut self, call: usize, commands: Vec<DispatchCommand>) {
+    fn execute_commands(&mut self, call: usize, commands: Vec<DispatchCommand>) {
         for command in commands {
             match command {
                 DispatchCommand::Choose(_, excluded) => self.choose(call, &excluded),
@@ -127,11 +127,11 @@
                 DispatchCommand::Settle(attempt, state) => self.send_settle(call, attempt, state),
                 DispatchCommand::Execute(claimed) => {
                     let caller = self.calls[call].caller;
-                    self.calls[call].sent.insert(claimed.attempt);
+                    self.calls[call].sent_attempts.insert(claimed.attempt);
                     self.callers[caller].attempts.insert(claimed.attempt);
                     let agent = self.agent_at(&claimed);
                     self.calls[call].agents.insert(claimed.attempt, agent);
-                    self.send_to_agent(call, claimed.attempt, |process| Due::Execute {
+                    self.send_to_agent(call, claimed.attempt, |process| ScheduledEvent::Execute {
                         call,
                         process,
                         claimed: claimed.clone(),
@@ -141,8 +141,8 @@
                     let agent = self.agent_at(&claimed);
                     self.calls[call].agents.insert(claimed.attempt, agent);
                     let event = DispatchEvent::Broken(claimed.attempt);
-                    self.schedule(RESOLVE_TIMEOUT_MS, Due::Event { call, event });
-                    self.send_to_agent(call, claimed.attempt, |process| Due::Resolve {
+                    self.schedule(RESOLVE_TIMEOUT_MS, ScheduledEvent::Dispatch { call, event });
+                    self.send_to_agent(call, claimed.attempt, |process| ScheduledEvent::Resolve {
                         call,
                         process,
                         claimed: claimed.clone(),
@@ -153,7 +153,7 @@
         }
         if self.calls[call].alive {
             let at = self.calls[call].dispatch.next_timer().since(self.now()).get();
-            self.schedule(at, Due::Timer { call });
+            self.schedule(at, ScheduledEvent::Timer { call });
         }
     }
 
@@ -161,21 +161,21 @@
         if self.chance(self.faults.no_minion) {
             let refusal = NotRun::retryable(NotRunReason::NoMinion, 10, "no minion");
             let event = DispatchEvent::Chosen(Err(refusal));
-            return self.schedule(1, Due::Event { call, event });
+            return self.schedule(1, ScheduledEvent::Dispatch { call, event });
         }
         let mut index = self.random.random_range(0..self.agents.len());
         if excluded.contains(&self.agents[index].node) {
             index = self.random.random_range(0..self.agents.len());
         }
-        // The view learns of a restart some time later.
-        let target = self.agents[index].seen_target();
+        // The view reflects a restart with a delay.
+        let target = self.agents[index].published_target();
         if self.random.random_bool(0.5) {
-            self.agents[index].seen_incarnation = self.agents[index].incarnation;
+            self.agents[index].published_incarnation = self.agents[index].incarnation;
         }
         let attempt = attempt_id(self.now(), self.random.random());
         let event = DispatchEvent::Chosen(Ok((attempt, target)));
         let delay = self.random.random_range(0..3);
-        self.schedule(delay, Due::Event { call, event });
+        self.schedule(delay, ScheduledEvent::Dispatch { call, event });
     }
 
     fn finished(&mut self, call: usize, outcome: &Outcome) {
@@ -183,24 +183,27 @@
         let caller = self.calls[call].caller;
         match outcome {
             Outcome::Completed(answer) => {
-                self.tally.completed += 1;
-                assert_eq!(answer.body, self.callers[caller].body, "another caller's answer");
+                self.counts.completed += 1;
+                assert_eq!(
+                    answer.body, self.callers[caller].body,
+                    "the answer belongs to another caller"
+                );
             }
             Outcome::NotRun(not_run) => {
-                self.tally.not_run += 1;
+                self.counts.not_run += 1;
                 let refused = match not_run.scope {
-                    NotRunScope::Sending => self.calls[call].sent.clone(),
+                    NotRunScope::Sending => self.calls[call].sent_attempts.clone(),
                     NotRunScope::Key => {
                         let call = &self.calls[call];
-                        call.earlier.union(&call.sent).copied().collect()
+                        call.earlier_attempts.union(&call.sent_attempts).copied().collect()
                     }
                 };
-                assert_eq!(self.runs_of(&refused), 0, "a request said not to run has run");
+                assert_eq!(self.runs_of(&refused), 0, "a request reported as not run has run");
                 self.callers[caller].refused_attempts.push(refused);
             }
             Outcome::Unknown(_) => {
-                self.tally.unknown += 1;
-                self.schedule(20, Due::Send { caller });
+                self.counts.unknown += 1;
+                self.schedule(20, ScheduledEvent::Submit { caller });
             }
         }
     }
--- a/crates/yuccatack_requests/tests/world/network.rs
+++ b/crates/yuccatack_requests/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Delay, loss, duplication, truncation and crossing.
+//! Simulated network with delay, loss, duplication, truncation and misdelivery.
 
 use rand::RngExt;
 use yuccatack_core::prelude::*;
@@ -11,22 +11,22 @@
 use yuccatack_requests::generated::agent as wire;
 use yuccatack_requests::wire::attempts::resolution_parts;
 
-use super::{Due, World};
+use super::{ScheduledEvent, Simulation};
 
 const BODY_LIMIT_BYTES: u64 = 1024;
 
-/// How often things go wrong.
+/// Probability of each fault, number of process kills, and dispatch settings of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    pub slowness: f64,
+    pub slow_delivery: f64,
     pub loss: f64,
-    pub breakage: f64,
+    pub connection_failure: f64,
     pub duplication: f64,
-    pub crossing: f64,
+    pub misdelivery: f64,
     pub truncation: f64,
     pub minion_failure: f64,
     pub no_minion: f64,
-    pub impatience: f64,
+    pub early_resubmission: f64,
     pub kill_count: usize,
     pub dispatch: DispatchSettings,
 }
@@ -34,19 +34,19 @@
 impl Faults {
     pub fn none() -> Self {
         Self {
-            slowness: 0.0,
+            slow_delivery: 0.0,
             loss: 0.0,
-            breakage: 0.0,
+            connection_failure: 0.0,
             duplication: 0.0,
-            crossing: 0.0,
+            misdelivery: 0.0,
             truncation: 0.0,
             minion_failure: 0.0,
             no_minion: 0.0,
-            impatience: 0.0,
+            early_resubmission: 0.0,
             kill_count: 0,
             dispatch: DispatchSettings {
-                silence: DurationMs::new(150),
-                hedge_after: DurationMs::new(200),
+                silence_timeout: DurationMs::new(150),
+                hedge_delay: DurationMs::new(200),
                 resolve_wait: DurationMs::new(100),
                 ..DispatchSettings::default()
             },
@@ -55,29 +55,29 @@
 
     pub fn all() -> Self {
         Self {
-            slowness: 0.1,
+            slow_delivery: 0.1,
             loss: 0.08,
-            breakage: 0.08,
+            connection_failure: 0.08,
             duplication: 0.1,
-            crossing: 0.05,
+            misdelivery: 0.05,
             truncation: 0.05,
             minion_failure: 0.1,
             no_minion: 0.15,
-            impatience: 0.3,
+            early_resubmission: 0.3,
             kill_count: 6,
             ..Self::none()
         }
     }
 }
 
-impl World {
+impl Simulation {
     pub fn chance(&mut self, probability: f64) -> bool {
         self.random.random_bool(probability)
     }
 
     pub fn delay(&mut self) -> u64 {
-        // Most messages are quick; some wait long enough to meet a timeout.
-        if self.chance(self.faults.slowness) {
+        // Most messages arrive quickly; some are delayed long enough to exceed a timeout.
+        if self.chance(self.faults.slow_delivery) {
             return self.random.random_range(50..600);
         }
         self.random.random_range(1..10)
@@ -85,19 +85,28 @@
 
     fn break_exchange(&mut self, call: usize, attempt: AttemptId) {
         let delay = self.delay();
-        self.schedule(delay, Due::Event { call, event: DispatchEvent::Broken(attempt) });
+        self.schedule(
+            delay,
+            ScheduledEvent::Dispatch { call, event: DispatchEvent::Broken(attempt) },
+        );
     }
 
-    /// Sends a message to an agent: it may vanish, break the exchange, or arrive, even twice.
-    pub fn send_to_agent(&mut self, call: usize, attempt: AttemptId, make: impl Fn(u64) -> Due) {
+    /// Sends a message to an agent. It may be lost, fail with the connection, or arrive once or
+    /// twice.
+    pub fn send_to_agent(
+        &mut self,
+        call: usize,
+        attempt: AttemptId,
+        make: impl Fn(u64) -> ScheduledEvent,
+    ) {
         let agent = self.calls[call].agent_of(attempt);
         let process = self.agents[agent].process;
         if self.chance(self.faults.loss) {
             return;
         }
-        if self.chance(self.faults.breakage) {
+        if self.chance(self.faults.connection_failure) {
             self.break_exchange(call, attempt);
-            // A broken connection may still have delivered.
+            // The message may have arrived before the connection failed.
             if self.random.random_bool(0.5) {
                 return;
             }
@@ -110,35 +119,35 @@
         }
     }
 
-    /// Sends an agent's account back to the entry.
+    /// Sends the resolution of an attempt to the entry.
     pub fn send_to_entry(&mut self, call: usize, attempt: AttemptId, resolution: Resolution) {
         if self.chance(self.faults.loss) {
             return;
         }
-        if self.chance(self.faults.breakage) {
+        if self.chance(self.faults.connection_failure) {
             return self.break_exchange(call, attempt);
         }
         let organisation = self.callers[self.calls[call].caller].organisation.clone();
         let mut recipient = (call, attempt);
-        if self.chance(self.faults.crossing) {
+        if self.chance(self.faults.misdelivery) {
             let index = self.random.random_range(0..self.calls.len());
             let expected = self.calls[index].last_attempt();
             recipient = expected.map_or(recipient, |expected| (index, expected));
         }
         let (call, expected) = recipient;
         let parts = resolution_parts(attempt, &organisation, &resolution);
-        let account = Due::Account { call, expected, parts };
+        let message = ScheduledEvent::Resolution { call, expected, parts };
         let delay = self.delay();
         if self.chance(self.faults.duplication) {
             let delay = delay + self.delay();
-            self.schedule(delay, account.clone());
+            self.schedule(delay, message.clone());
         }
-        self.schedule(delay, account);
+        self.schedule(delay, message);
     }
 
-    /// The account of `attempt` arrives where that of `expected` is; they are the same unless
-    /// answers crossed.
-    pub fn account_arrives(
+    /// Delivers a resolution to a call that expects the one of `expected`. The parts belong to
+    /// another attempt if the resolution was misdelivered.
+    pub fn resolution_arrives(
         &mut self,
         call: usize,
         expected: AttemptId,
@@ -155,7 +164,7 @@
         let mut checked = None;
         for part in parts {
             match collector.push(part) {
-                Ok(whole) => checked = checked.or(whole),
+                Ok(complete) => checked = checked.or(complete),
                 Err(_) => break,
             }
         }
@@ -163,7 +172,7 @@
             Some(resolution) => DispatchEvent::Resolved(expected, resolution),
             None => DispatchEvent::Broken(expected),
         };
-        self.feed(call, event);
+        self.handle_event(call, event);
     }
 
     pub fn send_claim(&mut self, call: usize, attempt: ClaimedAttempt) {
@@ -184,7 +193,8 @@
         self.send_to_control(call, ClaimCommand::Settle { organisation, key, attempt, state });
     }
 
-    /// A command may be lost before it is applied, applied without an answer, or applied twice.
+    /// Sends a command to the control leader. It may be lost before it is applied, applied without
+    /// an answer, or applied twice.
     fn send_to_control(&mut self, call: usize, command: ClaimCommand) {
         let delay = self.delay();
         if self.chance(self.faults.loss) {
@@ -200,9 +210,12 @@
         }
         if self.chance(self.faults.duplication) {
             let delay = delay + self.delay();
-            self.schedule(delay, Due::Claim { call, command: command.clone(), answered: false });
+            self.schedule(
+                delay,
+                ScheduledEvent::Claim { call, command: command.clone(), answered: false },
+            );
         }
-        self.schedule(delay, Due::Claim { call, command, answered });
+        self.schedule(delay, ScheduledEvent::Claim { call, command, answered });
     }
 
     fn claim_fails(&mut self, call: usize, command: &ClaimCommand, error: ClaimCallError) {
@@ -211,7 +224,7 @@
             ClaimCommand::Settle { .. } => DispatchEvent::Settled(Err(error)),
         };
         let delay = self.delay();
-        self.schedule(delay, Due::Event { call, event });
+        self.schedule(delay, ScheduledEvent::Dispatch { call, event });
     }
 
     pub fn claim_arrives(&mut self, call: usize, command: ClaimCommand, answered: bool) {
@@ -220,7 +233,7 @@
         let outcome = self.claims.apply(command, now);
         if outcome == ClaimOutcome::Granted {
             let caller = self.calls[call].caller;
-            self.calls[call].earlier = self.callers[caller].attempts.clone();
+            self.calls[call].earlier_attempts = self.callers[caller].attempts.clone();
         }
         if answered {
             let event = match is_claim {
@@ -228,7 +241,7 @@
                 false => DispatchEvent::Settled(Ok(outcome)),
             };
             let delay = self.delay();
-            self.schedule(delay, Due::Event { call, event });
+            self.schedule(delay, ScheduledEvent::Dispatch { call, event });
         }
     }
 }
--- a/crates/yuccatack_requests/tests/wire_forms.rs
+++ b/crates/yuccatack_requests/tests/wire_forms.rs
@@ -1,4 +1,4 @@
-//! Commands, outcomes and accounts survive their encoding.
+//! Encoding and decoding of claim commands, claim outcomes and attempt resolutions.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Guards against fields of claims that are lost or swapped on the way.
+/// Guards against fields of claim commands that are lost or swapped by encoding and decoding.
 #[test]
 fn claim_commands() {
     let organisation = OrganisationName::new("lender").unwrap();
@@ -52,7 +52,7 @@
     }
 }
 
-/// Guards against outcomes of claims that change on the way.
+/// Guards against claim outcomes that are changed by encoding and decoding.
 #[test]
 fn claim_outcomes() {
     let refusals = [
@@ -75,11 +75,11 @@
 fn decode(expected: AttemptId, organisation: &str, parts: &[AnswerPart]) -> Option<Resolution> {
     let organisation = OrganisationName::new(organisation).unwrap();
     let mut collector = AnswerCollector::new(expected, organisation, 1024 * 1024);
-    let mut whole = None;
+    let mut resolution = None;
     for part in parts {
-        whole = collector.push(part.clone()).ok()?;
+        resolution = collector.push(part.clone()).ok()?;
     }
-    whole
+    resolution
 }
 
 fn parts(resolution: &Resolution) -> Vec<AnswerPart> {
@@ -88,10 +88,10 @@
     parts.into_iter().map(|part| AnswerPart::try_from(part).unwrap()).collect()
 }
 
-/// Guards against accounts that change on the way, and against ones that are taken although they
-/// belong to another attempt or organisation or are not whole.
+/// Guards against resolutions that are changed by encoding and decoding, and against accepting ones
+/// that are incomplete or belong to another attempt or organisation.
 #[test]
-fn accounts() {
+fn resolutions() {
     let answer = Answer {
         status: 201,
         headers: vec![Header { name: Arc::from("x"), value: Bytes::from_static(b"\xff") }],
