--- a/crates/yuccatack_core/src/collections.rs
+++ b/crates/yuccatack_core/src/collections.rs
@@ -1,10 +1,11 @@
 //! Hash collections with a fast hasher.
 
-/// A hash map for keys that callers do not choose freely.
+/// A hash map for keys that callers cannot choose freely.
 ///
-/// The hasher has no random seed, so limit the number of keys where callers can choose them.
-/// Replicated state that is iterated uses `BTreeMap` instead, so that every replica iterates alike.
+/// The hasher has no random seed and does not resist collision attacks, so limit the number of keys
+/// where callers can choose them. Replicated state that is iterated uses `BTreeMap` instead, so
+/// that every replica iterates in the same order.
 pub type FastHashMap<Key, Value> = rustc_hash::FxHashMap<Key, Value>;
 
-/// The set that goes with [`FastHashMap`].
+/// A hash set with the hasher of [`FastHashMap`] and the same restriction on keys.
 pub type FastHashSet<Key> = rustc_hash::FxHashSet<Key>;
--- a/crates/yuccatack_core/src/identifiers.rs
+++ b/crates/yuccatack_core/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Identifiers and counters that order changes and fence old holders.
+//! Identifiers, and counters that order changes and fence off outdated owners.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Wraps the raw number.
+            /// Creates the counter from its raw value.
             pub const fn new(number: u64) -> Self {
                 Self(number)
             }
 
-            /// The raw number.
+            /// Returns the raw value.
             pub const fn get(self) -> u64 {
                 self.0
             }
 
-            /// The number after this one; the largest number stays.
+            /// Returns the successor, saturating at `u64::MAX`.
             pub const fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
             }
@@ -40,35 +40,36 @@
 }
 
 counter_type! {
-    /// The version of one record; grows with each accepted change and never goes back.
+    /// Version of a single record; increases with each accepted change and never decreases.
     Generation,
-    /// The position of a change among all changes of records.
+    /// Position of a change in the total order of record changes.
     Revision,
-    /// The number of a job's attempt; a worker refuses commands of an older one.
+    /// Fencing token of a job's attempt; a worker rejects commands that carry an older one.
     FencingEpoch,
-    /// A random number that a process or data folder draws once, so that a successor under the
-    /// same name is told apart.
+    /// Random number generated once per process start or data folder. It distinguishes a process
+    /// or folder from its successor under the same name.
     Incarnation,
 }
 
 impl Incarnation {
-    /// Draws a new incarnation; never zero, which stands for "none" on the wire.
+    /// Generates a random incarnation; never zero, which means "none" on the wire.
     pub fn random() -> Self {
         Self(rand::random_range(1..=u64::MAX))
     }
 }
 
-/// The identifier that an operator gives a change, so that a resend gets the first answer.
+/// Idempotency key of a change, chosen by the operator; a retry with the same identifier gets the
+/// original response.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct ChangeId(Arc<str>);
 
 impl ChangeId {
-    /// Shares `text`.
+    /// Creates an identifier from any text; the text is not validated.
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
     }
 
-    /// The identifier as text.
+    /// Returns the identifier as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -80,30 +81,30 @@
     }
 }
 
-/// The identifier of one attempt to run a request.
+/// Unique identifier of one attempt to execute a request.
 #[derive(Clone, Copy, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct AttemptId([u8; 16]);
 
-/// Bytes that are not an attempt identifier.
+/// Error of converting a byte slice of the wrong length to an [`AttemptId`].
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("an attempt identifier has 16 bytes, not {length_bytes}; resend with 16"))]
 pub struct ParseAttemptIdError {
-    /// How many bytes were found.
+    /// Length of the rejected slice.
     pub length_bytes: usize,
 }
 
 impl AttemptId {
-    /// Wraps the raw bytes.
+    /// Creates an identifier from its raw bytes.
     pub const fn new(bytes: [u8; 16]) -> Self {
         Self(bytes)
     }
 
-    /// Draws a new identifier.
+    /// Generates a random identifier.
     pub fn random() -> Self {
         Self(rand::random())
     }
 
-    /// The raw bytes.
+    /// Returns the raw bytes.
     pub const fn as_bytes(&self) -> &[u8; 16] {
         &self.0
     }
--- a/crates/yuccatack_core/src/lib.rs
+++ b/crates/yuccatack_core/src/lib.rs
@@ -1,6 +1,6 @@
-//! Names, identifiers, units and collections shared by every duty.
+//! Names, identifiers, units and collections shared by all crates of the workspace.
 //!
-//! Nothing here does I/O or reads a clock. Import [`prelude`] for the common types.
+//! The crate performs no I/O and reads no clock. Import [`prelude`] for the common types.
 
 mod collections;
 mod identifiers;
@@ -21,7 +21,7 @@
 pub use shape::{Adjacency, PriorityClass, Shape};
 pub use time::{DurationMs, TimestampMs};
 
-/// The types that almost every module uses.
+/// Re-exports of the types that almost every module uses.
 pub mod prelude {
     pub use crate::{
         Adjacency, AttemptId, ChangeId, DataCentreName, DurationMs, FastHashMap, FastHashSet,
--- a/crates/yuccatack_core/src/names.rs
+++ b/crates/yuccatack_core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of records and machines as shared immutable strings.
+//! Validated names of records and machines, stored as shared immutable strings.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// The longest name accepted, in bytes; names end up in file names, headers and metric labels.
+/// Maximum length of a name. Names are used in file names, HTTP headers and metric labels.
 pub const MAX_NAME_LENGTH_BYTES: usize = 128;
 
-/// A text that cannot be a name.
+/// Error of validating a name: the text is empty, too long or has a character that is not allowed.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display(
     "`{text}` is not a valid name; use 1 to 128 characters out of a-z, A-Z, 0-9, `-`, `_` and `.`"
 ))]
 pub struct InvalidNameError {
-    /// The refused text, shortened to the longest accepted length.
+    /// Rejected text, truncated to the maximum length.
     pub text: String,
 }
 
@@ -37,13 +37,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and shares it.
+            /// Validates `text` and creates the name from it.
             pub fn new(text: &str) -> Result<Self, InvalidNameError> {
                 validate(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -86,24 +86,24 @@
 }
 
 name_type! {
-    /// A tenant of the platform.
+    /// Name of an organisation, which is a tenant of the platform.
     OrganisationName,
-    /// A failure domain that holds racks.
+    /// Name of a data centre, which is a failure domain that contains racks.
     DataCentreName,
-    /// A group of workers behind one switch; unique within its data centre.
+    /// Name of a group of workers behind one switch; unique within its data centre.
     RackName,
-    /// A platform machine that runs tasks.
+    /// Name of a platform machine that runs tasks.
     WorkerName,
-    /// A backend server that answers requests.
+    /// Name of a backend server that answers requests.
     MinionName,
-    /// A pool of minions that answer the same requests.
+    /// Name of a pool of minions that serve the same requests.
     ServiceName,
-    /// A process of the system.
+    /// Name of a process of the system, such as a control replica, an entry or an agent.
     NodeName,
-    /// A job submitted by an organisation.
+    /// Name of a job submitted by an organisation.
     JobName,
-    /// A queue of the platform configuration, to which callers submit jobs.
+    /// Name of a queue in the platform configuration, to which callers submit jobs.
     QueueName,
-    /// The name of a record of any kind.
+    /// Name of a record of any kind.
     RecordName,
 }
--- a/crates/yuccatack_core/src/resources.rs
+++ b/crates/yuccatack_core/src/resources.rs
@@ -1,27 +1,27 @@
-//! Amounts of processors, memory and accelerators.
+//! Amounts of CPU, memory and accelerators.
 
 use serde::{Deserialize, Serialize};
 
-/// What a worker offers or a task needs.
+/// Resources that a worker provides or a task requires.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor cores, in thousandths.
+    /// CPU in thousandths of a core.
     pub cores_milli: u64,
-    /// Main memory.
+    /// Main memory in bytes.
     pub memory_bytes: u64,
-    /// Whole accelerators.
+    /// Number of whole accelerators; a fraction cannot be requested.
     pub accelerator_count: u32,
 }
 
 impl Resources {
-    /// Whether every amount of `need` fits into this one.
-    pub const fn contains(&self, need: &Self) -> bool {
-        self.cores_milli >= need.cores_milli
-            && self.memory_bytes >= need.memory_bytes
-            && self.accelerator_count >= need.accelerator_count
+    /// Returns `true` if each amount is at least the corresponding one of `required`.
+    pub const fn contains(&self, required: &Self) -> bool {
+        self.cores_milli >= required.cores_milli
+            && self.memory_bytes >= required.memory_bytes
+            && self.accelerator_count >= required.accelerator_count
     }
 
-    /// The sum, or `None` on overflow.
+    /// Adds `other`, or returns `None` on overflow.
     pub fn checked_add(&self, other: &Self) -> Option<Self> {
         Some(Self {
             cores_milli: self.cores_milli.checked_add(other.cores_milli)?,
@@ -30,7 +30,7 @@
         })
     }
 
-    /// The difference, or `None` when `other` does not fit.
+    /// Subtracts `other`, or returns `None` if any amount would become negative.
     pub fn checked_sub(&self, other: &Self) -> Option<Self> {
         Some(Self {
             cores_milli: self.cores_milli.checked_sub(other.cores_milli)?,
@@ -39,7 +39,7 @@
         })
     }
 
-    /// The product with a number of tasks, or `None` on overflow.
+    /// Multiplies each amount by `count` tasks, or returns `None` on overflow.
     pub fn checked_mul(&self, count: u32) -> Option<Self> {
         Some(Self {
             cores_milli: self.cores_milli.checked_mul(u64::from(count))?,
--- a/crates/yuccatack_core/src/shape.rs
+++ b/crates/yuccatack_core/src/shape.rs
@@ -1,51 +1,51 @@
-//! The shape of jobs and guarantees, and the classes of work.
+//! Shapes of jobs and guarantees, and priority classes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Resources;
 
-/// How close together the tasks of a gang must run.
+/// Smallest topology domain that must contain all tasks of a gang.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Adjacency {
-    /// All tasks on one worker.
+    /// All tasks run on one worker.
     Worker,
-    /// All tasks in one rack.
+    /// All tasks run in one rack.
     Rack,
-    /// All tasks in one data centre.
+    /// All tasks run in one data centre.
     #[default]
     DataCentre,
 }
 
-/// What a gang occupies: equal tasks within one adjacency domain.
+/// Resource request of a gang: identical tasks within one adjacency domain.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub struct Shape {
-    /// The number of tasks; all of them run or none does.
+    /// Number of tasks; a gang is all-or-nothing, so either all tasks run or none does.
     pub task_count: u32,
-    /// What each task needs.
+    /// Resources that each task requires.
     pub task: Resources,
-    /// How close together the tasks must run.
+    /// Topology domain that must contain all tasks.
     pub adjacency: Adjacency,
 }
 
-/// The priority class of jobs and requests, from most to least urgent.
+/// Priority class of jobs and requests, ordered from most to least urgent.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum PriorityClass {
-    /// Somebody waits for the result, for example a ranking or a counter review.
+    /// Interactive work whose result a person waits for, such as a ranking or a counter review.
     Urgent,
-    /// Ordinary work.
+    /// Ordinary work; used where no class is given.
     #[default]
     Standard,
-    /// Work that may wait for hours, for example reconciliation or rescoring.
+    /// Work that may be delayed by hours, such as reconciliation or rescoring.
     Batch,
 }
 
 impl PriorityClass {
-    /// Every class, most urgent first.
+    /// All classes, most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Standard, Self::Batch];
 }
--- a/crates/yuccatack_core/src/time.rs
+++ b/crates/yuccatack_core/src/time.rs
@@ -1,57 +1,57 @@
-//! Points and spans of time in milliseconds.
+//! Timestamps and durations in milliseconds.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A point on the clock of the process that reads it, in milliseconds.
+/// Timestamp in milliseconds on a clock of the local process.
 ///
-/// Decisions take the current time as an argument and never read a clock. Whether the clock is
-/// monotonic or the wall clock is up to the caller; the two are never mixed in one state.
+/// Decision code takes the current time as an argument and never reads a clock. The caller chooses
+/// between the monotonic and the wall clock; a single state never mixes the two.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct TimestampMs(u64);
 
-/// A span of time in milliseconds.
+/// Non-negative duration in milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct DurationMs(u64);
 
 impl TimestampMs {
-    /// Wraps the raw number of milliseconds.
+    /// Creates a timestamp from milliseconds since the epoch of the clock.
     pub const fn new(milliseconds: u64) -> Self {
         Self(milliseconds)
     }
 
-    /// The raw number of milliseconds.
+    /// Returns the milliseconds since the epoch of the clock.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The time since `earlier`, or zero when `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is the later one.
     pub const fn since(self, earlier: Self) -> DurationMs {
         DurationMs(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl DurationMs {
-    /// No time.
+    /// Zero-length duration.
     pub const ZERO: Self = Self(0);
 
-    /// Wraps the raw number of milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn new(milliseconds: u64) -> Self {
         Self(milliseconds)
     }
 
-    /// A whole number of seconds.
+    /// Creates a duration from whole seconds, saturating at the maximum.
     pub const fn from_seconds(seconds: u64) -> Self {
         Self(seconds.saturating_mul(1000))
     }
 
-    /// The raw number of milliseconds.
+    /// Returns the duration in milliseconds.
     pub const fn get(self) -> u64 {
         self.0
     }
