--- a/crates/yuccatack_lifecycle/src/lib.rs
+++ b/crates/yuccatack_lifecycle/src/lib.rs
@@ -1,4 +1,7 @@
-//! Graceful shutdown of a process: one signal drains it, a second one or the drain limit ends it.
+//! Graceful shutdown of a process.
+//!
+//! The first termination signal starts draining; a second one, or the drain limit, aborts what is
+//! still in flight.
 
 use std::io;
 use std::time::Duration;
@@ -6,37 +9,37 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// How far the shutdown of a process has come.
+/// Progress of the shutdown of a process; phases only advance.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum ShutdownPhase {
-    /// The process works normally.
+    /// No shutdown has been requested.
     Running,
-    /// The process accepts nothing new and finishes what is in flight.
+    /// The process accepts no new work and completes the work in flight.
     Draining,
-    /// The process ends now and reports what it leaves unfinished.
+    /// The process terminates immediately and reports the work that it leaves unfinished.
     Aborting,
 }
 
-/// Starts and escalates a shutdown.
+/// Sending half of [`shutdown_channel`], which starts and escalates a shutdown.
 #[derive(Clone, Debug)]
 pub struct ShutdownTrigger {
     sender: watch::Sender<ShutdownPhase>,
 }
 
-/// Tells a task how far the shutdown has come.
+/// Receiving half of [`shutdown_channel`], through which a task observes the shutdown phase.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
     receiver: watch::Receiver<ShutdownPhase>,
 }
 
-/// Makes a connected pair.
+/// Creates a connected trigger and observer in the phase [`ShutdownPhase::Running`].
 pub fn shutdown_channel() -> (ShutdownTrigger, Shutdown) {
     let (sender, receiver) = watch::channel(ShutdownPhase::Running);
     (ShutdownTrigger { sender }, Shutdown { receiver })
 }
 
 impl ShutdownTrigger {
-    /// Moves the shutdown forward to `phase`; it never goes back.
+    /// Advances the shutdown to `phase`; has no effect if it has already reached that phase.
     pub fn advance(&self, phase: ShutdownPhase) {
         self.sender.send_if_modified(|current| {
             let advanced = phase > *current;
@@ -47,9 +50,10 @@
         });
     }
 
-    /// Drains on the first SIGTERM or SIGINT; aborts on the second or after `drain_limit`.
+    /// Starts draining on the first SIGTERM or SIGINT; aborts on the second or after `drain_limit`.
     ///
-    /// Returns once the phase is [`ShutdownPhase::Aborting`].
+    /// Returns when the phase is [`ShutdownPhase::Aborting`], or with an error if a signal handler
+    /// cannot be installed.
     pub async fn handle_signals(self, drain_limit: Duration) -> io::Result<()> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
@@ -57,7 +61,11 @@
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        log::info!(event = "shutdown_started"; "draining; a second signal ends the process at once");
+        log::info!(
+            event = "shutdown_started";
+            "draining for at most {} ms; a second signal aborts the work in flight",
+            drain_limit.as_millis()
+        );
         self.advance(ShutdownPhase::Draining);
         tokio::select! {
             _ = terminate.recv() => {}
@@ -70,14 +78,14 @@
 }
 
 impl Shutdown {
-    /// The current phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> ShutdownPhase {
         *self.receiver.borrow()
     }
 
-    /// Waits until the phase is `phase` or a later one, or until the trigger is gone.
+    /// Waits until `phase` or a later phase is reached, or until all triggers have been dropped.
     pub async fn wait_for(&mut self, phase: ShutdownPhase) {
-        // An error means that the trigger was dropped, after which no phase can follow.
+        // An error means that all triggers were dropped, after which the phase cannot change.
         let _ = self.receiver.wait_for(|current| *current >= phase).await;
     }
 }
