--- a/crates/yuccatack_settings/src/agent.rs
+++ b/crates/yuccatack_settings/src/agent.rs
@@ -1,40 +1,40 @@
-//! Settings of the agent role.
+//! Settings of the agent role, as stored in the settings file.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
 
-/// Settings of an agent.
+/// Settings of an agent, which forwards attempts to a single minion.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// The name of this process.
+    /// Name of this process.
     pub node: NodeName,
-    /// The data centre that this process runs in.
+    /// Data centre that this process runs in.
     pub data_centre: DataCentreName,
-    /// The service that the minion belongs to.
+    /// Service that the minion belongs to.
     pub service: ServiceName,
-    /// The name of the minion.
+    /// Name of the minion that this agent serves.
     pub minion: MinionName,
-    /// Where the minion answers HTTP.
+    /// Address of the HTTP server of the minion.
     pub minion_address: SocketAddr,
-    /// Where this agent accepts attempts from entries.
+    /// Listen address for attempts from entries; it is advertised to them unchanged.
     pub listen_address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Listen address of the metrics and health endpoint; `None` disables it.
     pub metrics_address: Option<SocketAddr>,
-    /// The control replicas.
+    /// Addresses of the control replicas, in any order.
     pub control_addresses: Vec<SocketAddr>,
-    /// How many requests the minion runs at once.
+    /// Maximum number of requests that the minion executes concurrently.
     #[serde(default = "default_slot_count")]
     pub slot_count: u32,
-    /// How many connections the minion takes.
+    /// Maximum number of connections to the minion; at least `slot_count`.
     #[serde(default = "default_connection_count")]
     pub connection_count: u32,
-    /// How long a graceful shutdown may take.
+    /// Maximum duration of a graceful shutdown.
     #[serde(default = "default_drain_limit_ms")]
     pub drain_limit_ms: u64,
-    /// The largest answer that is passed on.
+    /// Maximum size of a response body that is forwarded to the entry.
     #[serde(default = "default_body_limit_bytes")]
     pub body_limit_bytes: u64,
 }
--- a/crates/yuccatack_settings/src/control.rs
+++ b/crates/yuccatack_settings/src/control.rs
@@ -1,4 +1,4 @@
-//! Settings of the control role.
+//! Settings of the control role, as stored in the settings file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,52 +6,53 @@
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
 
-/// One control replica as the others know it.
+/// Identity and peer address of a control replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaSettings {
-    /// The number of the replica; unique for the life of the deployment.
+    /// Identifier of the replica, unique for the life of the deployment. A replacement gets a new
+    /// one.
     pub replica_id: u64,
-    /// Where the replica answers the system's own processes.
+    /// Address at which the replica serves other processes of the system.
     pub address: SocketAddr,
 }
 
-/// Settings of a control replica.
+/// Settings of a control replica, which holds the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// The name of this process.
+    /// Name of this process.
     pub node: NodeName,
-    /// The data centre that this process runs in.
+    /// Data centre that this process runs in.
     pub data_centre: DataCentreName,
-    /// The number of this replica.
+    /// Identifier of this replica, which is one of `initial_replicas`.
     pub replica_id: u64,
-    /// Where this replica answers the system's own processes.
+    /// Listen address for other processes of the system.
     pub listen_address: SocketAddr,
-    /// Where this replica answers the heartbeats of workers over HTTP.
+    /// Listen address for the heartbeats of workers, over HTTP.
     pub worker_address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Listen address of the metrics and health endpoint; `None` disables it.
     pub metrics_address: Option<SocketAddr>,
-    /// The folder that holds all durable state.
+    /// Absolute path of the folder that holds all durable state.
     pub data_folder: PathBuf,
-    /// The voters with which a new deployment starts.
+    /// Initial voters of a new deployment; the list is the same on each of them.
     pub initial_replicas: Vec<ReplicaSettings>,
-    /// How often a leader sends a heartbeat.
+    /// Interval between the heartbeats of a leader.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// The shortest election timeout; the longest is twice as long.
+    /// Minimum election timeout; the maximum is twice as long. At least three times `heartbeat_ms`.
     #[serde(default = "default_election_timeout_ms")]
     pub election_timeout_ms: u64,
-    /// How long request claims are kept.
+    /// Retention period of request claims; an older key is refused.
     #[serde(default = "default_claim_age_limit_ms")]
     pub claim_age_limit_ms: u64,
-    /// How many request claims are kept.
+    /// Maximum number of request claims that are retained.
     #[serde(default = "default_claim_count_limit")]
     pub claim_count_limit: u64,
-    /// How many log entries are kept before a snapshot replaces them.
+    /// Number of log entries after which a snapshot replaces them.
     #[serde(default = "default_snapshot_entry_count")]
     pub snapshot_entry_count: u64,
-    /// How long a graceful shutdown may take.
+    /// Maximum duration of a graceful shutdown.
     #[serde(default = "default_drain_limit_ms")]
     pub drain_limit_ms: u64,
 }
--- a/crates/yuccatack_settings/src/entry.rs
+++ b/crates/yuccatack_settings/src/entry.rs
@@ -1,31 +1,31 @@
-//! Settings of the entry role.
+//! Settings of the entry role, as stored in the settings file.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
 
-/// Settings of an entry.
+/// Settings of an entry, which accepts requests of callers and operators over HTTP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// The name of this process.
+    /// Name of this process.
     pub node: NodeName,
-    /// The data centre that this process runs in.
+    /// Data centre that this process runs in.
     pub data_centre: DataCentreName,
-    /// Where callers and operators connect over HTTP.
+    /// Listen address for callers and operators, over HTTP.
     pub listen_address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Listen address of the metrics and health endpoint; `None` disables it.
     pub metrics_address: Option<SocketAddr>,
-    /// The control replicas.
+    /// Addresses of the control replicas, in any order.
     pub control_addresses: Vec<SocketAddr>,
-    /// How long a graceful shutdown may take.
+    /// Maximum duration of a graceful shutdown.
     #[serde(default = "default_drain_limit_ms")]
     pub drain_limit_ms: u64,
-    /// The largest request body that is accepted.
+    /// Maximum size of a request body.
     #[serde(default = "default_body_limit_bytes")]
     pub body_limit_bytes: u64,
-    /// How long a caller may take to send its request.
+    /// Maximum time for a caller to send its whole request.
     #[serde(default = "default_receive_limit_ms")]
     pub receive_limit_ms: u64,
 }
--- a/crates/yuccatack_settings/src/error.rs
+++ b/crates/yuccatack_settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why settings could not be loaded.
+//! Errors of loading settings.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,30 +7,31 @@
 
 use crate::Problem;
 
-/// Why settings could not be loaded.
+/// Error of loading a settings file.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
-    /// The file could not be read.
+    /// The file does not exist, is not readable or is not UTF-8.
     #[snafu(display(
         "cannot read the settings file {}: {source}; check the path and its permissions",
         path.display()
     ))]
     Read {
-        /// The file.
+        /// Path that was given to [`load`](crate::load).
         path: PathBuf,
-        /// What the operating system said.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The file holds wrong settings.
-    #[snafu(display("{}", list(problems)))]
+    /// The settings violate the schema of the role or a rule between settings.
+    #[snafu(display("{}", join_lines(problems)))]
     Invalid {
-        /// Every problem, in the order of the file's keys.
+        /// All problems: invalid keys in file order, then missing keys, then violated rules between
+        /// settings.
         problems: Vec<Problem>,
     },
 }
 
-fn list(problems: &[Problem]) -> String {
+fn join_lines(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
     lines.join("\n")
 }
--- a/crates/yuccatack_settings/src/field.rs
+++ b/crates/yuccatack_settings/src/field.rs
@@ -1,63 +1,63 @@
-//! The description of one setting, which the checks and the reference page share.
+//! Schema of a single setting, shared by validation and the reference page.
 
-/// One key of a settings file.
+/// Schema of one key of a settings file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Field {
-    /// The key; it ends in its unit.
+    /// Key in the file; a numeric key ends in its unit.
     pub key: &'static str,
-    /// What the value must be.
+    /// Type and range of the value.
     pub kind: FieldKind,
-    /// Whether the key must be given.
+    /// Requirement or default of the key.
     pub presence: Presence,
-    /// What the setting does, for the reference page.
+    /// Description of the setting, used by the reference page and by error messages.
     pub meaning: &'static str,
 }
 
-/// What a value must be.
+/// Type of a value, with its bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FieldKind {
-    /// A name as `yuccatack_core` defines it.
+    /// Name that satisfies the rules of `yuccatack_core`.
     Name,
-    /// An `IP:port` that other processes connect to.
+    /// `IP:port` with a fixed port.
     Address,
-    /// A list of such addresses with at least one element.
+    /// Non-empty list of addresses.
     Addresses,
-    /// A folder, as an absolute path.
+    /// Absolute path of a folder.
     Folder,
-    /// A whole number within bounds, in the unit that the key ends in.
+    /// Whole number within inclusive bounds, in the unit that the key ends in.
     Integer {
-        /// The smallest accepted value.
+        /// Lower bound, inclusive.
         minimum: u64,
-        /// The largest accepted value.
+        /// Upper bound, inclusive.
         maximum: u64,
     },
-    /// A list of replicas, each with the keys of [`REPLICA_FIELDS`](crate::REPLICA_FIELDS).
+    /// List of replicas, each with the keys of [`REPLICA_FIELDS`](crate::REPLICA_FIELDS).
     Replicas,
 }
 
-/// Whether a key must be given.
+/// Requirement of a key: mandatory, optional or with a default.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Presence {
-    /// The file is refused without it.
+    /// A file without the key is rejected.
     Required,
-    /// What it sets is switched off without it.
+    /// The feature is disabled without the key.
     Optional,
-    /// This number is used without it.
+    /// Value that applies without the key.
     Default(u64),
 }
 
 impl Field {
-    /// A key that must be given.
+    /// Creates the schema of a mandatory key.
     pub const fn required(key: &'static str, kind: FieldKind, meaning: &'static str) -> Self {
         Self { key, kind, presence: Presence::Required, meaning }
     }
 
-    /// A key that may be left out.
+    /// Creates the schema of an optional key.
     pub const fn optional(key: &'static str, kind: FieldKind, meaning: &'static str) -> Self {
         Self { key, kind, presence: Presence::Optional, meaning }
     }
 
-    /// A whole number with a default.
+    /// Creates the schema of a whole number with a default; `bounds` are inclusive.
     pub const fn integer(
         key: &'static str,
         default: u64,
@@ -68,7 +68,7 @@
         Self { key, kind, presence: Presence::Default(default), meaning }
     }
 
-    /// The unit that the key ends in.
+    /// Returns the unit that the key ends in, or an empty string if it has none.
     pub fn unit(&self) -> &'static str {
         match self.key {
             key if key.ends_with("_ms") => "milliseconds",
--- a/crates/yuccatack_settings/src/lib.rs
+++ b/crates/yuccatack_settings/src/lib.rs
@@ -1,7 +1,8 @@
 //! Typed YAML settings of the three process roles.
 //!
-//! Each role has its struct in one file and the checks of its values beside it under `validation`.
-//! [`load`] reads a file for a process; [`check`] names every problem of a file at once.
+//! Each role has a file with its struct and a file of the same name with its validation rules in
+//! `validation`. [`load`] reads the settings of a process; [`check`] reports all problems of a file
+//! at once.
 
 mod agent;
 mod control;
@@ -23,14 +24,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The settings file of one process; the key `role` selects the variant.
+/// Settings of one process; the key `role` of the file selects the variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "role", rename_all = "snake_case")]
 pub enum Settings {
-    /// A control replica.
+    /// Settings of a control replica.
     Control(ControlSettings),
-    /// An entry.
+    /// Settings of an entry.
     Entry(EntrySettings),
-    /// An agent beside a minion.
+    /// Settings of the agent of a minion.
     Agent(AgentSettings),
 }
--- a/crates/yuccatack_settings/src/load.rs
+++ b/crates/yuccatack_settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading and checking settings files.
+//! Loads and validates settings files.
 
 use std::fs;
 use std::path::Path;
@@ -10,14 +10,14 @@
 use crate::validation::{self, Role};
 use crate::{Problem, Settings, SettingsError};
 
-/// Reads the settings of a process from `path`.
+/// Loads and validates the settings of a process from the file at `path`.
 pub fn load(path: impl AsRef<Path>) -> Result<Settings, SettingsError> {
     let path = path.as_ref();
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     parse(&text).map_err(|error| error.in_file(path))
 }
 
-/// Names every problem of the settings file at `path`.
+/// Returns all problems of the settings file at `path`; empty if the file is valid.
 pub fn check(path: impl AsRef<Path>) -> Vec<Problem> {
     match load(&path) {
         Ok(_) => Vec::new(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Names every problem of the settings in `text`.
+/// Returns all problems of the settings in `text`; empty if they are valid.
 pub fn check_text(text: &str) -> Vec<Problem> {
     match parse(text) {
         Err(SettingsError::Invalid { problems }) => problems,
@@ -38,21 +38,22 @@
     }
 }
 
-/// Reads the settings in `text`.
+/// Parses and validates the settings in `text`.
 pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-    let mapping = read_mapping(text).map_err(single)?;
-    let role = Role::of(&mapping).map_err(single)?;
+    let mapping = parse_mapping(text).map_err(invalid)?;
+    let role = Role::from_mapping(&mapping).map_err(invalid)?;
     let problems = validation::check(role, &mapping);
     ensure!(problems.is_empty(), InvalidSnafu { problems });
-    // The checks above accept no more than the types do; this names a gap between the two.
+    // Validated settings must deserialize. An error here means that validation accepts a value that
+    // the structs reject.
     serde_path_to_error::deserialize(Value::Mapping(mapping)).map_err(|error| {
         let path = error.path().to_string();
         let found = error.into_inner().to_string();
-        single(Problem::new(path, found, "see the reference page of the settings"))
+        invalid(Problem::new(path, found, "see the reference page of the settings"))
     })
 }
 
-fn read_mapping(text: &str) -> Result<Mapping, Problem> {
+fn parse_mapping(text: &str) -> Result<Mapping, Problem> {
     let value: Value = serde_yaml_ng::from_str(text).map_err(|error| {
         let remedy = "write one YAML document of `key: value` lines, each key once";
         Problem::new("", format!("not valid YAML: {error}"), remedy)
@@ -66,7 +67,7 @@
     }
 }
 
-fn single(problem: Problem) -> SettingsError {
+fn invalid(problem: Problem) -> SettingsError {
     SettingsError::Invalid { problems: vec![problem] }
 }
 
--- a/crates/yuccatack_settings/src/problem.rs
+++ b/crates/yuccatack_settings/src/problem.rs
@@ -1,20 +1,20 @@
-//! One problem of a settings file.
+//! A validation error of a settings file.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use serde::Serialize;
 
-/// What is wrong at one place of a settings file, and how to put it right.
+/// Validation error at one key of a settings file, together with its remedy.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Problem {
-    /// The file, unless the text came from elsewhere.
+    /// Settings file; `None` if the text was not read from a file.
     pub file: Option<PathBuf>,
-    /// The path of the key, for example `initial_replicas[1].address`; empty for the whole file.
+    /// Path of the key, for example `initial_replicas[1].address`; empty for the whole file.
     pub path: String,
-    /// What was found there.
+    /// Description of the invalid value or state.
     pub found: String,
-    /// What to do.
+    /// Instruction that resolves the problem.
     pub remedy: String,
 }
 
--- a/crates/yuccatack_settings/src/validation/agent.rs
+++ b/crates/yuccatack_settings/src/validation/agent.rs
@@ -1,9 +1,9 @@
-//! Fields of the agent role and the rules between them.
+//! Schema of the agent role and the rules between its settings.
 
 use super::section::{Section, check_distinct, check_reachable};
 use crate::{Field, FieldKind, Problem};
 
-/// The settings of an agent.
+/// Schema of an agent, in the order of [`AgentSettings`](crate::AgentSettings).
 pub(super) const FIELDS: &[Field] = &[
     Field::required("node", FieldKind::Name, "The name of this process."),
     Field::required("data_centre", FieldKind::Name, "The data centre that this process runs in."),
@@ -51,7 +51,8 @@
     ),
 ];
 
-/// Checks the rules between settings of an agent.
+/// Checks that connections suffice for the slots, that advertised addresses are reachable and that
+/// no address is used twice.
 pub(super) fn check_relations(section: &Section<'_>, problems: &mut Vec<Problem>) {
     check_slots(section, problems);
     let listen = section.addresses("listen_address");
@@ -67,7 +68,8 @@
     check_distinct(&all, problems);
 }
 
-/// One exchange occupies one connection, so that a slot without a connection could never be used.
+/// Checks that each slot can have a connection. An exchange occupies a connection, so that a slot
+/// without one could never be used.
 fn check_slots(section: &Section<'_>, problems: &mut Vec<Problem>) {
     let (slots, connections) = (section.integer("slot_count"), section.integer("connection_count"));
     if let (Some(slots), Some(connections)) = (slots, connections)
--- a/crates/yuccatack_settings/src/validation/control.rs
+++ b/crates/yuccatack_settings/src/validation/control.rs
@@ -1,17 +1,17 @@
-//! Fields of the control role and the rules between them.
+//! Schema of the control role and the rules between its settings.
 
 use std::net::SocketAddr;
 
 use serde_yaml_ng::Value;
 
 use super::describe;
-use super::section::{PlacedAddress, Section, check_distinct, check_reachable, placed};
+use super::section::{AddressSetting, Section, check_distinct, check_reachable, parse_address};
 use crate::{Field, FieldKind, Problem};
 
-/// The most control VMs that a deployment may use, from the design page.
-const MAXIMUM_REPLICA_COUNT: usize = 13;
+/// Maximum number of control replicas, which is the design limit of control VMs per deployment.
+const MAX_REPLICA_COUNT: usize = 13;
 
-/// The settings of a control replica.
+/// Schema of a control replica, in the order of [`ControlSettings`](crate::ControlSettings).
 pub(super) const FIELDS: &[Field] = &[
     Field::required("node", FieldKind::Name, "The name of this process."),
     Field::required("data_centre", FieldKind::Name, "The data centre that this process runs in."),
@@ -76,7 +76,7 @@
     ),
 ];
 
-/// The keys of one element of `initial_replicas`.
+/// Schema of an element of `initial_replicas`.
 pub const REPLICA_FIELDS: &[Field] = &[
     Field::required(
         "replica_id",
@@ -90,14 +90,14 @@
     ),
 ];
 
-/// One replica of the list as far as it is valid.
-struct PlacedReplica {
+/// Element of `initial_replicas`; invalid values are `None`.
+struct ReplicaElement {
     path: String,
     replica_id: Option<u64>,
-    address: Option<PlacedAddress>,
+    address: Option<AddressSetting>,
 }
 
-/// Checks the list `initial_replicas` on its own.
+/// Checks the length and the elements of `initial_replicas`, without regard to other settings.
 pub(super) fn check_replicas(path: &str, value: &Value, problems: &mut Vec<Problem>) {
     let Some(elements) = value.as_sequence() else {
         let remedy = "give a list of replicas, each with `replica_id` and `address`";
@@ -107,9 +107,9 @@
     if elements.is_empty() {
         problems.push(Problem::new(path, "the list is empty", "list at least this replica"));
     }
-    if elements.len() > MAXIMUM_REPLICA_COUNT {
+    if elements.len() > MAX_REPLICA_COUNT {
         let found = format!("{} replicas", elements.len());
-        let remedy = format!("list {MAXIMUM_REPLICA_COUNT} at most; 3 or 5 are usual");
+        let remedy = format!("list {MAX_REPLICA_COUNT} at most; 3 or 5 are usual");
         problems.push(Problem::new(path, found, remedy));
     }
     for (index, element) in elements.iter().enumerate() {
@@ -128,13 +128,13 @@
     }
 }
 
-/// Checks the rules between settings of a control replica.
+/// Checks the timeouts, the list of replicas and that no address is used twice.
 pub(super) fn check_relations(section: &Section<'_>, problems: &mut Vec<Problem>) {
     check_timing(section, problems);
-    let replicas = read_replicas(section);
+    let replicas = parse_replicas(section);
     check_identifiers(&replicas, problems);
     check_own_replica(section, &replicas, problems);
-    let addresses: Vec<PlacedAddress> =
+    let addresses: Vec<AddressSetting> =
         replicas.iter().filter_map(|replica| replica.address.clone()).collect();
     check_reachable(&addresses, problems);
     check_distinct(&addresses, problems);
@@ -147,7 +147,7 @@
 fn check_timing(section: &Section<'_>, problems: &mut Vec<Problem>) {
     let (heartbeat, election) =
         (section.integer("heartbeat_ms"), section.integer("election_timeout_ms"));
-    // One lost or late heartbeat must not start an election.
+    // A single lost or late heartbeat must not start an election.
     if let (Some(heartbeat), Some(election)) = (heartbeat, election)
         && election < heartbeat.saturating_mul(3)
     {
@@ -159,22 +159,22 @@
     }
 }
 
-fn read_replicas(section: &Section<'_>) -> Vec<PlacedReplica> {
+fn parse_replicas(section: &Section<'_>) -> Vec<ReplicaElement> {
     let path = section.path("initial_replicas");
     let Some(elements) = section.value("initial_replicas").and_then(Value::as_sequence) else {
         return Vec::new();
     };
-    let read = |(index, element): (usize, &Value)| {
+    let parse = |(index, element): (usize, &Value)| {
         let path = format!("{path}[{index}]");
         let replica_id = element.get("replica_id").and_then(Value::as_u64);
         let address_path = format!("{path}.address");
-        let address = element.get("address").and_then(|value| placed(address_path, value));
-        PlacedReplica { path, replica_id, address }
+        let address = element.get("address").and_then(|value| parse_address(address_path, value));
+        ReplicaElement { path, replica_id, address }
     };
-    elements.iter().enumerate().map(read).collect()
+    elements.iter().enumerate().map(parse).collect()
 }
 
-fn check_identifiers(replicas: &[PlacedReplica], problems: &mut Vec<Problem>) {
+fn check_identifiers(replicas: &[ReplicaElement], problems: &mut Vec<Problem>) {
     for (index, replica) in replicas.iter().enumerate() {
         let Some(replica_id) = replica.replica_id else { continue };
         let mut earlier = replicas[..index].iter();
@@ -190,7 +190,7 @@
 
 fn check_own_replica(
     section: &Section<'_>,
-    replicas: &[PlacedReplica],
+    replicas: &[ReplicaElement],
     problems: &mut Vec<Problem>,
 ) {
     let Some(replica_id) = section.integer("replica_id") else { return };
@@ -207,7 +207,7 @@
     };
     let listen = section.addresses("listen_address");
     if let (Some(listen), Some(listed)) = (listen.first(), &own.address)
-        && !leads_to(listed.address, listen.address)
+        && !is_served_by(listed.address, listen.address)
     {
         problems.push(Problem::new(
             &listed.path,
@@ -217,7 +217,7 @@
     }
 }
 
-/// Whether a connection to `listed` reaches a socket bound to `listen`.
-fn leads_to(listed: SocketAddr, listen: SocketAddr) -> bool {
+/// Returns `true` if a connection to `listed` reaches a socket bound to `listen`.
+fn is_served_by(listed: SocketAddr, listen: SocketAddr) -> bool {
     listed.port() == listen.port() && (listen.ip().is_unspecified() || listed.ip() == listen.ip())
 }
--- a/crates/yuccatack_settings/src/validation/entry.rs
+++ b/crates/yuccatack_settings/src/validation/entry.rs
@@ -1,9 +1,9 @@
-//! Fields of the entry role and the rules between them.
+//! Schema of the entry role and the rules between its settings.
 
 use super::section::{Section, check_distinct, check_reachable};
 use crate::{Field, FieldKind, Problem};
 
-/// The settings of an entry.
+/// Schema of an entry, in the order of [`EntrySettings`](crate::EntrySettings).
 pub(super) const FIELDS: &[Field] = &[
     Field::required("node", FieldKind::Name, "The name of this process."),
     Field::required(
@@ -42,7 +42,7 @@
     ),
 ];
 
-/// Checks the rules between settings of an entry.
+/// Checks that control addresses are reachable and that no address is used twice.
 pub(super) fn check_relations(section: &Section<'_>, problems: &mut Vec<Problem>) {
     let controls = section.addresses("control_addresses");
     check_reachable(&controls, problems);
--- a/crates/yuccatack_settings/src/validation/key.rs
+++ b/crates/yuccatack_settings/src/validation/key.rs
@@ -1,9 +1,9 @@
-//! Remedies for keys that no setting has.
+//! Remedies for unknown keys.
 
 use super::Role;
 use crate::Field;
 
-/// Endings that state a unit, longest first so that `_kib` is not taken for `_b`.
+/// Key suffixes that state a unit, longest first so that a longer suffix takes precedence.
 const UNIT_SUFFIXES: [&str; 21] = [
     "_milliseconds",
     "_microseconds",
@@ -28,31 +28,31 @@
     "_s",
 ];
 
-/// Below this similarity a suggestion is more likely to mislead than to help.
-const SUGGESTION_SIMILARITY: f64 = 0.8;
+/// Minimum Jaro-Winkler similarity of a suggestion; less similar keys are rarely the intended one.
+const MIN_SUGGESTION_SIMILARITY_RATIO: f64 = 0.8;
 
-/// Says how to put the unknown `key` right.
+/// Returns the instruction that corrects the unknown `key`.
 pub(super) fn remedy(key: &str, fields: &[Field]) -> String {
-    if let Some(field) = same_stem(key, fields) {
+    if let Some(field) = field_with_same_stem(key, fields) {
         let unit = field.unit();
         return format!("use `{}`, in {unit}", field.key);
     }
-    if let Some(role) = role_with(key) {
+    if let Some(role) = role_with_key(key) {
         return format!("remove it; it is a setting of the role `{}`", role.name());
     }
-    match nearest(key, fields) {
+    match most_similar_key(key, fields) {
         Some(known) => format!("did you mean `{known}`?"),
         None => "remove it; the reference page of the settings lists the known keys".to_owned(),
     }
 }
 
-/// The role that has the setting `key`.
-fn role_with(key: &str) -> Option<Role> {
+/// Returns the role whose schema contains `key`.
+fn role_with_key(key: &str) -> Option<Role> {
     Role::ALL.into_iter().find(|role| role.fields().iter().any(|field| field.key == key))
 }
 
-/// The field that differs from `key` in nothing but the unit.
-fn same_stem(key: &str, fields: &[Field]) -> Option<Field> {
+/// Returns the field that differs from `key` only in its unit suffix.
+fn field_with_same_stem(key: &str, fields: &[Field]) -> Option<Field> {
     let stem = stem(key);
     let mut with_unit = fields.iter().copied().filter(|field| !field.unit().is_empty());
     with_unit.find(|field| self::stem(field.key) == stem)
@@ -62,8 +62,8 @@
     UNIT_SUFFIXES.iter().find_map(|suffix| key.strip_suffix(suffix)).unwrap_or(key)
 }
 
-fn nearest(key: &str, fields: &[Field]) -> Option<&'static str> {
+fn most_similar_key(key: &str, fields: &[Field]) -> Option<&'static str> {
     let similarity = |field: &Field| strsim::jaro_winkler(key, field.key);
     let best = fields.iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b)))?;
-    (similarity(best) >= SUGGESTION_SIMILARITY).then_some(best.key)
+    (similarity(best) >= MIN_SUGGESTION_SIMILARITY_RATIO).then_some(best.key)
 }
--- a/crates/yuccatack_settings/src/validation/mod.rs
+++ b/crates/yuccatack_settings/src/validation/mod.rs
@@ -1,7 +1,7 @@
-//! Checks of settings before they are read into the typed structs.
+//! Validation of settings before they are deserialized into the typed structs.
 //!
-//! The checks work on the parsed YAML and not on the structs, so that one wrong value does not hide
-//! the others. Each role has one file with its fields and the rules between them.
+//! Validation works on the parsed YAML instead of the structs, so that one invalid value does not
+//! hide other problems. Each role has a file with its fields and the rules between them.
 
 mod agent;
 mod control;
@@ -18,22 +18,22 @@
 use crate::{Field, Problem};
 use section::Section;
 
-/// The roles of a process.
+/// Role of a process, which determines its settings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// A control replica.
+    /// Control replica, which holds the replicated state.
     Control,
-    /// An entry.
+    /// Entry, which accepts requests of callers and operators.
     Entry,
-    /// An agent beside a minion.
+    /// Agent, which forwards attempts to its minion.
     Agent,
 }
 
 impl Role {
-    /// Every role.
+    /// All roles.
     pub const ALL: [Self; 3] = [Self::Control, Self::Entry, Self::Agent];
 
-    /// The value of the key `role`.
+    /// Returns the value of the key `role` in a settings file.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Control => "control",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The settings of the role, besides `role` itself.
+    /// Returns the schema of the settings of this role, without the key `role`.
     pub const fn fields(self) -> &'static [Field] {
         match self {
             Self::Control => control::FIELDS,
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(crate) fn of(mapping: &Mapping) -> Result<Self, Problem> {
+    pub(crate) fn from_mapping(mapping: &Mapping) -> Result<Self, Problem> {
         let remedy = "set `role` to `control`, `entry` or `agent`";
         let Some(value) = mapping.get("role") else {
             return Err(Problem::new("role", "the key is missing", remedy));
@@ -61,7 +61,7 @@
     }
 }
 
-/// Names every problem of the settings of `role`.
+/// Returns all problems of the settings of `role`.
 pub(crate) fn check(role: Role, mapping: &Mapping) -> Vec<Problem> {
     let mut settings = mapping.clone();
     settings.remove(Value::from("role"));
--- a/crates/yuccatack_settings/src/validation/section.rs
+++ b/crates/yuccatack_settings/src/validation/section.rs
@@ -1,4 +1,4 @@
-//! One mapping of a settings file together with the fields it may have.
+//! Validation of a mapping of a settings file against its schema.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use super::{control, describe, key, value};
 use crate::{Field, FieldKind, Presence, Problem};
 
-/// One mapping of a settings file together with the fields it may have.
+/// Mapping of a settings file, together with the schema of its keys.
 pub(super) struct Section<'a> {
     mapping: &'a Mapping,
     fields: &'static [Field],
     prefix: &'a str,
 }
 
-/// An address and the path of its key.
+/// Valid address, together with the path of the key that holds it.
 #[derive(Clone, Debug)]
-pub(super) struct PlacedAddress {
+pub(super) struct AddressSetting {
     pub(super) path: String,
     pub(super) address: SocketAddr,
 }
@@ -26,12 +26,12 @@
         Self { mapping, fields, prefix }
     }
 
-    /// The path of `key` from the top of the file.
+    /// Returns the path of `key` from the top of the file.
     pub(super) fn path(&self, key: &str) -> String {
         format!("{}{key}", self.prefix)
     }
 
-    /// Checks every key on its own: unknown, missing, or with a wrong value.
+    /// Checks each key individually: it is known, present if required, and has a valid value.
     pub(super) fn check_fields(&self) -> Vec<Problem> {
         let mut problems = Vec::new();
         for (key, value) in self.mapping {
@@ -66,15 +66,16 @@
         }
     }
 
-    /// The value of an integer key, or its default; `None` if the value is no whole number.
+    /// Returns the value of an integer key or its default; `None` if the value is not an unsigned
+    /// integer.
     pub(super) fn integer(&self, key: &str) -> Option<u64> {
         match self.mapping.get(key) {
             Some(value) => value.as_u64(),
-            None => self.default(key),
+            None => self.default_value(key),
         }
     }
 
-    fn default(&self, key: &str) -> Option<u64> {
+    fn default_value(&self, key: &str) -> Option<u64> {
         let field = self.fields.iter().find(|field| field.key == key)?;
         match field.presence {
             Presence::Default(number) => Some(number),
@@ -82,50 +83,55 @@
         }
     }
 
-    /// The raw value of a key.
+    /// Returns the unparsed value of a key.
     pub(super) fn value(&self, key: &str) -> Option<&'a Value> {
         self.mapping.get(key)
     }
 
-    /// The valid addresses of a key, which holds one address or a list of them.
-    pub(super) fn addresses(&self, key: &str) -> Vec<PlacedAddress> {
+    /// Returns the valid addresses of a key that holds one address or a list of them.
+    pub(super) fn addresses(&self, key: &str) -> Vec<AddressSetting> {
         let path = self.path(key);
         match self.mapping.get(key) {
             Some(Value::Sequence(elements)) => elements
                 .iter()
                 .enumerate()
-                .filter_map(|(index, element)| placed(format!("{path}[{index}]"), element))
+                .filter_map(|(index, element)| parse_address(format!("{path}[{index}]"), element))
                 .collect(),
-            Some(value) => placed(path, value).into_iter().collect(),
+            Some(value) => parse_address(path, value).into_iter().collect(),
             None => Vec::new(),
         }
     }
 }
 
-/// Names every address that stands at more than one place.
-pub(super) fn check_distinct(addresses: &[PlacedAddress], problems: &mut Vec<Problem>) {
-    for (index, placed) in addresses.iter().enumerate() {
+/// Reports each address that more than one key holds.
+pub(super) fn check_distinct(addresses: &[AddressSetting], problems: &mut Vec<Problem>) {
+    for (index, setting) in addresses.iter().enumerate() {
         let mut earlier = addresses[..index].iter();
-        if let Some(first) = earlier.find(|other| other.address == placed.address) {
-            let found = format!("`{}` is also the value of `{}`", placed.address, first.path);
-            problems.push(Problem::new(&placed.path, found, "give each its own address"));
+        if let Some(first) = earlier.find(|other| other.address == setting.address) {
+            let found = format!("`{}` is also the value of `{}`", setting.address, first.path);
+            problems.push(Problem::new(&setting.path, found, "give each its own address"));
         }
     }
 }
 
-/// Refuses an address that other processes are told but cannot connect to.
-pub(super) fn check_reachable(addresses: &[PlacedAddress], problems: &mut Vec<Problem>) {
-    for placed in addresses {
-        if placed.address.ip().is_unspecified() || placed.address.ip().is_multicast() {
-            let found = format!("found `{}`, which nobody can connect to", placed.address);
-            problems.push(Problem::new(&placed.path, found, "give the IP address of this machine"));
+/// Reports addresses that are advertised to other processes but do not identify a host: unspecified
+/// and multicast addresses.
+pub(super) fn check_reachable(addresses: &[AddressSetting], problems: &mut Vec<Problem>) {
+    for setting in addresses {
+        if setting.address.ip().is_unspecified() || setting.address.ip().is_multicast() {
+            let found = format!("found `{}`, which nobody can connect to", setting.address);
+            problems.push(Problem::new(
+                &setting.path,
+                found,
+                "give the IP address of this machine",
+            ));
         }
     }
 }
 
-pub(super) fn placed(path: String, value: &Value) -> Option<PlacedAddress> {
+pub(super) fn parse_address(path: String, value: &Value) -> Option<AddressSetting> {
     let address = value.as_str()?.parse().ok()?;
-    Some(PlacedAddress { path, address })
+    Some(AddressSetting { path, address })
 }
 
 fn check_addresses(path: &str, value: &Value, problems: &mut Vec<Problem>) {
--- a/crates/yuccatack_settings/src/validation/value.rs
+++ b/crates/yuccatack_settings/src/validation/value.rs
@@ -1,4 +1,4 @@
-//! Checks of single values.
+//! Validation of single values.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,7 +8,7 @@
 
 use crate::{Field, FieldKind, Problem};
 
-/// Names a value as it stands in the file, in a few words.
+/// Describes a value of the file for an error message.
 pub(crate) fn describe(value: &Value) -> String {
     match value {
         Value::Null => "no value".to_owned(),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Names what is wrong with a value of a simple kind; lists are checked element by element.
+/// Checks a scalar value. Lists are skipped, because their elements are checked individually.
 pub(super) fn check(field: &Field, path: &str, value: &Value) -> Option<Problem> {
     match field.kind {
         FieldKind::Name => check_name(path, value),
@@ -34,13 +34,17 @@
     }
 }
 
-fn found(path: &str, value: &Value, remedy: impl Into<String>) -> Option<Problem> {
+fn invalid_value(path: &str, value: &Value, remedy: impl Into<String>) -> Option<Problem> {
     Some(Problem::new(path, format!("found {}", describe(value)), remedy))
 }
 
 fn check_name(path: &str, value: &Value) -> Option<Problem> {
     let Some(text) = value.as_str() else {
-        return found(path, value, "give a name as text, in quotes if it looks like a number");
+        return invalid_value(
+            path,
+            value,
+            "give a name as text, in quotes if it looks like a number",
+        );
     };
     let error = NodeName::new(text).err()?;
     let remedy = "use 1 to 128 characters out of a-z, A-Z, 0-9, `-`, `_` and `.`";
@@ -50,10 +54,14 @@
 pub(super) fn check_address(path: &str, value: &Value) -> Option<Problem> {
     let address = value.as_str().and_then(|text| text.parse::<SocketAddr>().ok());
     match address {
-        None => found(path, value, "give an IP address and a port, for example `10.1.0.5:7401`"),
-        Some(address) if address.port() == 0 => {
-            found(path, value, "give a fixed port; other processes cannot find a random one")
+        None => {
+            invalid_value(path, value, "give an IP address and a port, for example `10.1.0.5:7401`")
         }
+        Some(address) if address.port() == 0 => invalid_value(
+            path,
+            value,
+            "give a fixed port; other processes cannot find a random one",
+        ),
         Some(_) => None,
     }
 }
@@ -61,19 +69,19 @@
 fn check_folder(path: &str, value: &Value) -> Option<Problem> {
     match value.as_str() {
         Some(text) if Path::new(text).is_absolute() => None,
-        _ => found(path, value, "give an absolute path, for example `/var/lib/yuccatack`"),
+        _ => invalid_value(path, value, "give an absolute path, for example `/var/lib/yuccatack`"),
     }
 }
 
 fn check_integer(path: &str, value: &Value, unit: &str, bounds: (u64, u64)) -> Option<Problem> {
     let (minimum, maximum) = bounds;
     let range = format!("{minimum} to {maximum}");
-    let wanted = match unit {
+    let remedy = match unit {
         "milliseconds" | "bytes" => format!("give a whole number of {unit}, {range}"),
         _ => format!("give a whole number, {range}"),
     };
     match value.as_u64() {
         Some(number) if number >= minimum && number <= maximum => None,
-        _ => found(path, value, wanted),
+        _ => invalid_value(path, value, remedy),
     }
 }
--- a/crates/yuccatack_settings/tests/reference_page.rs
+++ b/crates/yuccatack_settings/tests/reference_page.rs
@@ -1,4 +1,5 @@
-//! Guards against a reference page that lacks a setting or states another default or range.
+//! Guards against a reference page (`docs/settings.md`) that omits a setting or states a wrong
+//! default or range.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,13 +8,13 @@
 
 use yuccatack_settings::{Field, FieldKind, Presence, REPLICA_FIELDS, Role};
 
-fn page() -> String {
+fn reference_page() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/settings.md");
     std::fs::read_to_string(path).unwrap()
 }
 
-/// The row of a setting as it stands on the page.
-fn row(field: &Field) -> String {
+/// Formats the table row that the page must have for a setting.
+fn expected_row(field: &Field) -> String {
     let (kind, range) = match field.kind {
         FieldKind::Name => ("name", String::new()),
         FieldKind::Address => ("address", String::new()),
@@ -36,7 +37,7 @@
     format!("| `{key}` | {kind} | {unit} | {range} | {default} | {meaning} |")
 }
 
-/// The rows of the section of the page under `heading`.
+/// Returns the table rows of the section under `heading`.
 fn rows_under(page: &str, heading: &str) -> Vec<String> {
     let section = page.split(&format!("\n{heading}\n")).nth(1).unwrap_or_default();
     let section = section.split("\n## ").next().unwrap_or_default();
@@ -46,8 +47,8 @@
 
 #[track_caller]
 fn assert_section(heading: &str, fields: &[Field]) {
-    let expected: Vec<String> = fields.iter().map(row).collect();
-    let found = rows_under(&page(), heading);
+    let expected: Vec<String> = fields.iter().map(expected_row).collect();
+    let found = rows_under(&reference_page(), heading);
     assert!(
         found == expected,
         "docs/settings.md, section {heading}, must have these rows:\n{}",
@@ -75,7 +76,7 @@
     assert_section("## Role `agent`", Role::Agent.fields());
 }
 
-/// Guards against keys whose name does not tell their unit.
+/// Guards against numeric keys without a unit suffix.
 #[test]
 fn numbers_state_unit() {
     for role in Role::ALL {
@@ -87,6 +88,7 @@
     }
 }
 
+/// Guards against two settings of a role with the same key, of which only the first would apply.
 #[test]
 fn keys_are_unique() {
     for role in Role::ALL {
--- a/crates/yuccatack_settings/tests/refused_settings.rs
+++ b/crates/yuccatack_settings/tests/refused_settings.rs
@@ -1,4 +1,4 @@
-//! Guards against wrong settings that are accepted, or refused without the place and the remedy.
+//! Guards against invalid settings that are accepted, or rejected without the key and the remedy.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -101,6 +101,8 @@
     remove(&settings, "node")
 }
 
+/// Guards against an invalid file that is accepted, and against messages that omit the key, the
+/// value or the remedy.
 #[test]
 fn messages_name_remedy() {
     let mut table = String::new();
@@ -115,15 +117,17 @@
     insta::assert_snapshot!(table);
 }
 
-/// Guards against a case that fails for another reason than the one it names.
+/// Guards against cases that are rejected for a reason other than the one they name, because the
+/// settings that they modify are already invalid.
 #[test]
-fn bases_are_accepted() {
+fn unmodified_settings_accepted() {
     for settings in [CONTROL, ENTRY, AGENT] {
         assert_eq!(check_text(settings), []);
     }
 }
 
+/// Guards against the removal of cases.
 #[test]
-fn forty_kinds_covered() {
-    assert!(cases().len() >= 40, "only {} kinds of wrong settings", cases().len());
+fn at_least_forty_cases() {
+    assert!(cases().len() >= 40, "only {} cases of invalid settings", cases().len());
 }
--- a/crates/yuccatack_settings/tests/settings_files.rs
+++ b/crates/yuccatack_settings/tests/settings_files.rs
@@ -1,4 +1,5 @@
-//! Guards against files that load other values than they state, or errors that hide the file.
+//! Guards against settings that load with values other than those in the file, and against errors
+//! that omit the file.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -16,8 +17,9 @@
     load(path)
 }
 
+/// Guards against a default that replaces a value in the file.
 #[test]
-fn stated_values_win() {
+fn explicit_values_override() {
     let Settings::Control(control) = load_text(&set(CONTROL, "drain_limit_ms", "8000")).unwrap()
     else {
         panic!("not a control replica");
@@ -28,6 +30,7 @@
     assert_eq!(control.metrics_address, None);
 }
 
+/// Guards against rejecting `null` for an optional key.
 #[test]
 fn optional_null_accepted() {
     let Settings::Entry(entry) = load_text(&set(ENTRY, "metrics_address", "null")).unwrap() else {
@@ -36,6 +39,7 @@
     assert_eq!(entry.metrics_address, None);
 }
 
+/// Guards against problems that do not state the file and the key.
 #[test]
 fn problems_name_file() {
     let folder = tempfile::tempdir().unwrap();
@@ -47,6 +51,7 @@
     assert_eq!(problems[0].path, "slot_count");
 }
 
+/// Guards against an error that omits the path of a file that cannot be read.
 #[test]
 fn missing_file_named() {
     let folder = tempfile::tempdir().unwrap();
@@ -56,14 +61,14 @@
     assert_eq!(check(&path).len(), 1);
 }
 
-/// Guards against a field of the structs that the checks refuse as unknown, and against a default
-/// that the checks and the structs disagree on.
+/// Guards against struct fields that validation rejects as unknown, and against defaults that
+/// differ between validation and the structs.
 #[test]
-fn fields_match_structs() {
+fn schema_matches_structs() {
     for (role, text) in [(Role::Control, CONTROL), (Role::Entry, ENTRY), (Role::Agent, AGENT)] {
         let settings = load_text(text).unwrap();
-        let value = serde_yaml_ng::to_value(&settings).unwrap();
-        let keys: Vec<&str> = value
+        let serialized = serde_yaml_ng::to_value(&settings).unwrap();
+        let keys: Vec<&str> = serialized
             .as_mapping()
             .unwrap()
             .keys()
@@ -74,7 +79,12 @@
         assert_eq!(keys, fields, "role {}", role.name());
         for field in role.fields() {
             if let yuccatack_settings::Presence::Default(number) = field.presence {
-                assert_eq!(value[field.key].as_u64(), Some(number), "default of {}", field.key);
+                assert_eq!(
+                    serialized[field.key].as_u64(),
+                    Some(number),
+                    "default of {}",
+                    field.key
+                );
             }
         }
     }
--- a/crates/yuccatack_settings/tests/support/mod.rs
+++ b/crates/yuccatack_settings/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Complete settings of each role, and edits of them.
+//! Valid settings of each role, and functions that modify them.
 
-// Each test file uses a part of this module.
+// Each test crate compiles this module and uses only a part of it.
 #![allow(dead_code)]
 
-/// A control replica that leaves every default out.
+/// Settings of a control replica without optional keys.
 pub const CONTROL: &str = "\
 role: control
 node: control-1
@@ -18,7 +18,7 @@
   - {replica_id: 3, address: 10.3.0.1:7401}
 ";
 
-/// An entry that leaves every default out.
+/// Settings of an entry without optional keys.
 pub const ENTRY: &str = "\
 role: entry
 node: entry-1
@@ -27,7 +27,7 @@
 control_addresses: [10.1.0.1:7401, 10.2.0.1:7401]
 ";
 
-/// An agent that leaves every default out.
+/// Settings of an agent without optional keys.
 pub const AGENT: &str = "\
 role: agent
 node: agent-1
@@ -39,7 +39,7 @@
 control_addresses: [10.1.0.1:7401, 10.2.0.1:7401]
 ";
 
-/// Replaces the value of a top-level key, which stands on one line, or adds the key.
+/// Replaces the value of a top-level key that occupies one line, or adds the key.
 pub fn set(settings: &str, key: &str, value: &str) -> String {
     let prefix = format!("{key}:");
     let mut lines: Vec<String> = settings.lines().map(ToOwned::to_owned).collect();
@@ -65,7 +65,7 @@
     kept.join("\n")
 }
 
-/// Replaces the list of a key that spreads over several lines.
+/// Replaces the value of a top-level key with a list, written one element per line.
 pub fn set_list(settings: &str, key: &str, elements: &[&str]) -> String {
     let mut lines = format!("{}\n{key}:\n", remove(settings, key));
     for element in elements {
