--- a/crates/yuccatack_admission/src/fair_queue.rs
+++ b/crates/yuccatack_admission/src/fair_queue.rs
@@ -1,16 +1,16 @@
-//! A bounded queue that is fair between organisations and serves urgent classes first.
+//! Bounded queue that shares capacity fairly among organisations and serves urgent classes first.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use yuccatack_core::prelude::*;
 
-/// Bounds of a queue.
+/// Limits on the length of a [`FairQueue`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QueueLimits {
-    /// The most requests that wait.
+    /// Maximum number of queued requests.
     pub length_count: usize,
-    /// The most requests of one organisation that wait, in percent of `length_count`. One
-    /// organisation's burst then leaves room for the others.
+    /// Maximum number of queued requests of one organisation in a class, in percent of
+    /// `length_count`. A burst of one organisation then leaves capacity for the others.
     pub organisation_share_percent: usize,
 }
 
@@ -20,103 +20,104 @@
     }
 }
 
-/// A request that waits.
+/// Queued request with its scheduling attributes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QueuedRequest<Item> {
-    /// Who asks.
+    /// Organisation that sent the request.
     pub organisation: OrganisationName,
-    /// The organisation's share in comparison with others.
+    /// Share of the organisation relative to other organisations; zero counts as one.
     pub weight: u32,
-    /// How urgent it is.
+    /// Priority class, which takes precedence over the weight.
     pub class: PriorityClass,
-    /// When an answer is of no use any more.
+    /// Time after which a response is useless.
     pub deadline: TimestampMs,
-    /// What waits.
+    /// Payload that the queue returns unchanged.
     pub item: Item,
 }
 
-/// What comes out of a queue.
+/// Result of removing a request from a [`FairQueue`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Dequeued<Item> {
-    /// The next request to run.
+    /// Next request to execute.
     Next(QueuedRequest<Item>),
-    /// A request that cannot be answered before its deadline.
+    /// Request that cannot be completed before its deadline; it must not be executed.
     Late(QueuedRequest<Item>),
 }
 
 #[derive(Clone, Debug)]
-struct Lane<Item> {
+struct OrganisationQueue<Item> {
     requests: VecDeque<QueuedRequest<Item>>,
-    /// How many more requests the organisation may send before it is the next one's turn.
+    /// Number of requests that the organisation may still dequeue in its current turn.
     credit: u32,
 }
 
-/// The requests of one class: deficit round robin over organisations, where each request costs
-/// one and an organisation's weight is its quantum.
+/// Queue of one priority class: deficit round robin over organisations, in which each request
+/// costs one and the weight of an organisation is its quantum.
 #[derive(Clone, Debug)]
 struct ClassQueue<Item> {
-    lanes: BTreeMap<OrganisationName, Lane<Item>>,
-    turns: VecDeque<OrganisationName>,
+    organisations: BTreeMap<OrganisationName, OrganisationQueue<Item>>,
+    turn_order: VecDeque<OrganisationName>,
     length: usize,
 }
 
 impl<Item> Default for ClassQueue<Item> {
     fn default() -> Self {
-        Self { lanes: BTreeMap::new(), turns: VecDeque::new(), length: 0 }
+        Self { organisations: BTreeMap::new(), turn_order: VecDeque::new(), length: 0 }
     }
 }
 
 impl<Item> ClassQueue<Item> {
     fn push(&mut self, request: QueuedRequest<Item>) {
         let name = request.organisation.clone();
-        let lane = self.lanes.entry(name.clone()).or_insert_with(|| {
-            self.turns.push_back(name);
-            Lane { requests: VecDeque::new(), credit: request.weight.max(1) }
+        let queue = self.organisations.entry(name.clone()).or_insert_with(|| {
+            self.turn_order.push_back(name);
+            OrganisationQueue { requests: VecDeque::new(), credit: request.weight.max(1) }
         });
-        lane.requests.push_back(request);
+        queue.requests.push_back(request);
         self.length += 1;
     }
 
     fn pop(&mut self) -> Option<QueuedRequest<Item>> {
-        let name = self.turns.front()?.clone();
-        let lane = self.lanes.get_mut(&name)?;
-        let request = lane.requests.pop_front()?;
+        let name = self.turn_order.front()?.clone();
+        let queue = self.organisations.get_mut(&name)?;
+        let request = queue.requests.pop_front()?;
         self.length -= 1;
-        lane.credit = lane.credit.saturating_sub(1);
-        if lane.requests.is_empty() {
-            self.remove_lane(&name);
-        } else if lane.credit == 0 {
-            lane.credit = request.weight.max(1);
-            self.turns.rotate_left(1);
+        queue.credit = queue.credit.saturating_sub(1);
+        if queue.requests.is_empty() {
+            self.remove_organisation(&name);
+        } else if queue.credit == 0 {
+            queue.credit = request.weight.max(1);
+            self.turn_order.rotate_left(1);
         }
         Some(request)
     }
 
-    /// Takes the newest request of the organisation with the most.
+    /// Removes the newest request of the organisation with the most queued requests.
     fn evict(&mut self) -> Option<QueuedRequest<Item>> {
-        let longest = self.lanes.iter().max_by_key(|(_, lane)| lane.requests.len());
+        let longest = self.organisations.iter().max_by_key(|(_, queue)| queue.requests.len());
         let name = longest.map(|(name, _)| name.clone())?;
-        let lane = self.lanes.get_mut(&name)?;
-        let request = lane.requests.pop_back()?;
+        let queue = self.organisations.get_mut(&name)?;
+        let request = queue.requests.pop_back()?;
         self.length -= 1;
-        if lane.requests.is_empty() {
-            self.remove_lane(&name);
+        if queue.requests.is_empty() {
+            self.remove_organisation(&name);
         }
         Some(request)
     }
 
-    fn remove_lane(&mut self, name: &OrganisationName) {
-        self.lanes.remove(name);
-        self.turns.retain(|turn| turn != name);
+    fn remove_organisation(&mut self, name: &OrganisationName) {
+        self.organisations.remove(name);
+        self.turn_order.retain(|waiting| waiting != name);
     }
 
     fn organisation_length(&self, name: &OrganisationName) -> usize {
-        self.lanes.get(name).map_or(0, |lane| lane.requests.len())
+        self.organisations.get(name).map_or(0, |queue| queue.requests.len())
     }
 }
 
-/// Urgent requests come first, then standard ones, then batch; within a class organisations share
-/// by weight.
+/// Bounded queue with strict priority between classes and weighted sharing within a class.
+///
+/// Urgent requests are served first, then standard ones, then batch.
 #[derive(Clone, Debug)]
 pub struct FairQueue<Item> {
     limits: QueueLimits,
@@ -132,33 +133,34 @@
 }
 
 impl<Item> FairQueue<Item> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         Self { limits, classes: Default::default() }
     }
 
-    /// The requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.classes.iter().map(|class| class.length).sum()
     }
 
-    /// Whether nothing waits.
+    /// Returns `true` if no request is queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The requests that wait and would be served before a new one of `class`.
+    /// Returns the number of queued requests of `class` and of more urgent classes, which precede a
+    /// new request of `class`.
     pub fn ahead_of(&self, class: PriorityClass) -> usize {
         self.classes[..=class_index(class)].iter().map(|class| class.length).sum()
     }
 
-    /// Adds a request. Gives back the request for which there is no room, which is the new one or
-    /// one of a less urgent class.
+    /// Adds a request. If a limit is reached, returns the rejected request as the error: the new
+    /// one, or an evicted request of a less urgent class.
     pub fn push(&mut self, request: QueuedRequest<Item>) -> Result<(), QueuedRequest<Item>> {
         let index = class_index(request.class);
         let share = self.limits.length_count * self.limits.organisation_share_percent / 100;
-        let held = self.classes[index].organisation_length(&request.organisation);
-        if held >= share.max(1) {
+        let queued_count = self.classes[index].organisation_length(&request.organisation);
+        if queued_count >= share.max(1) {
             return Err(request);
         }
         if self.len() < self.limits.length_count {
@@ -175,8 +177,9 @@
         }
     }
 
-    /// Takes the next request. One that has less than `run_time` left until its deadline comes
-    /// out as late, because running it would only take a slot from one that can be answered.
+    /// Removes the next request. A request with at most `run_time` left until its deadline is
+    /// returned as [`Dequeued::Late`], because executing it would only take a slot from a request
+    /// that can still be completed.
     pub fn pop(&mut self, now: TimestampMs, run_time: DurationMs) -> Option<Dequeued<Item>> {
         let request = self.classes.iter_mut().find_map(ClassQueue::pop)?;
         if now + run_time >= request.deadline {
--- a/crates/yuccatack_admission/src/lib.rs
+++ b/crates/yuccatack_admission/src/lib.rs
@@ -1,6 +1,6 @@
 //! Fair queues, limits, load shedding and retry budgets.
 //!
-//! Everything here is pure: the current time is an argument.
+//! The crate performs no I/O and reads no clock: callers pass the current time.
 
 mod fair_queue;
 mod quota;
--- a/crates/yuccatack_admission/src/retry_budget.rs
+++ b/crates/yuccatack_admission/src/retry_budget.rs
@@ -1,11 +1,12 @@
-//! A bound on retries and hedges relative to first attempts.
+//! Limit on retries and hedged requests relative to first attempts.
 
-/// Bounds of a retry budget.
+/// Limits of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// The retries that each first attempt adds, in thousandths.
+    /// Retries that each first attempt adds to the budget, in thousandths.
     pub per_request_milli: u64,
-    /// The most retries that can be saved up, so that a quiet hour does not pay for a storm.
+    /// Maximum number of retries in the budget. The limit keeps a long period with few failures
+    /// from paying for a retry storm.
     pub burst_count: u64,
 }
 
@@ -15,8 +16,8 @@
     }
 }
 
-/// Allows retries up to a share of the first attempts, so that retries cannot multiply an
-/// overload.
+/// Token bucket that limits retries to a share of the first attempts, so that retries cannot
+/// amplify an overload.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -24,18 +25,18 @@
 }
 
 impl RetryBudget {
-    /// A budget that starts with what can be saved up.
+    /// Creates a full budget.
     pub fn new(settings: RetryBudgetSettings) -> Self {
         Self { settings, balance_milli: settings.burst_count * 1000 }
     }
 
-    /// Counts a first attempt.
+    /// Adds the share of a first attempt to the budget.
     pub fn deposit(&mut self) {
         let limit = self.settings.burst_count * 1000;
         self.balance_milli = (self.balance_milli + self.settings.per_request_milli).min(limit);
     }
 
-    /// Takes one retry out of the budget, or says that there is none.
+    /// Takes one retry from the budget; returns `false` if the budget is exhausted.
     pub fn try_withdraw(&mut self) -> bool {
         if self.balance_milli < 1000 {
             return false;
--- a/crates/yuccatack_admission/tests/fair_queue.rs
+++ b/crates/yuccatack_admission/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Order, bounds and shedding of the fair queue.
+//! Order, limits and load shedding of the fair queue.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -21,14 +21,14 @@
     }
 }
 
-fn next(queue: &mut FairQueue<u32>) -> QueuedRequest<u32> {
+fn pop_next(queue: &mut FairQueue<u32>) -> QueuedRequest<u32> {
     match queue.pop(TimestampMs::new(0), DurationMs::new(10)).unwrap() {
         Dequeued::Next(request) => request,
         Dequeued::Late(request) => panic!("late: {request:?}"),
     }
 }
 
-/// Guards against an organisation that gets more than its weight by sending more.
+/// Guards against an organisation that exceeds its weighted share by sending more requests.
 #[test]
 fn weighted_shares() {
     let mut queue = FairQueue::new(QueueLimits { length_count: 1_000, ..LIMITS });
@@ -41,7 +41,7 @@
     }
     let mut served = BTreeMap::new();
     for _ in 0..50 {
-        *served.entry(next(&mut queue).organisation.to_string()).or_insert(0) += 1;
+        *served.entry(pop_next(&mut queue).organisation.to_string()).or_insert(0) += 1;
     }
     assert_eq!(
         served,
@@ -49,7 +49,8 @@
     );
 }
 
-/// Guards against urgent requests that wait behind others, or are refused while others wait.
+/// Guards against urgent requests that are served after less urgent ones, or rejected by a queue
+/// that is full of them.
 #[test]
 fn urgent_first() {
     let mut queue = FairQueue::new(LIMITS);
@@ -61,11 +62,11 @@
     let evicted = queue.push(request("three", 1, PriorityClass::Urgent)).unwrap_err();
     assert_eq!(evicted.class, PriorityClass::Batch);
     assert_eq!(queue.len(), 100);
-    assert_eq!(next(&mut queue).class, PriorityClass::Urgent);
-    assert_eq!(next(&mut queue).class, PriorityClass::Batch);
+    assert_eq!(pop_next(&mut queue).class, PriorityClass::Urgent);
+    assert_eq!(pop_next(&mut queue).class, PriorityClass::Batch);
 }
 
-/// Guards against one organisation that fills the whole queue.
+/// Guards against an organisation that fills the whole queue and blocks the others.
 #[test]
 fn organisation_share() {
     let mut queue = FairQueue::new(LIMITS);
@@ -76,7 +77,7 @@
     queue.push(request("other", 1, PriorityClass::Standard)).unwrap();
 }
 
-/// Guards against slots that go to requests whose answer would come too late.
+/// Guards against executing requests that cannot complete before their deadline.
 #[test]
 fn late_requests() {
     let mut queue = FairQueue::new(LIMITS);
@@ -85,24 +86,24 @@
     assert!(matches!(late, Some(Dequeued::Late(_))), "{late:?}");
 }
 
-/// Guards against requests that are lost or doubled, and against a queue beyond its bound.
+/// Guards against requests that are lost or duplicated, and against a queue that exceeds its limit.
 #[test]
 fn random_operations() {
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut queue = FairQueue::new(LIMITS);
-        let (mut pushed, mut out) = (0, 0);
+        let (mut pushed, mut removed) = (0, 0);
         for step in 0..2_000 {
             if random.random_bool(0.6) {
                 let name = format!("org-{}", random.random_range(0..5));
                 let class = PriorityClass::ALL[random.random_range(0..3)];
                 pushed += 1;
-                out += usize::from(queue.push(request(&name, 1 + step % 3, class)).is_err());
+                removed += usize::from(queue.push(request(&name, 1 + step % 3, class)).is_err());
             } else {
-                out += usize::from(queue.pop(TimestampMs::new(0), DurationMs::ZERO).is_some());
+                removed += usize::from(queue.pop(TimestampMs::new(0), DurationMs::ZERO).is_some());
             }
             assert!(queue.len() <= LIMITS.length_count, "seed {seed}");
-            assert_eq!(pushed, out + queue.len(), "seed {seed}");
+            assert_eq!(pushed, removed + queue.len(), "seed {seed}");
         }
     }
 }
--- a/crates/yuccatack_admission/tests/limits.rs
+++ b/crates/yuccatack_admission/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits per organisation and the retry budget.
+//! Rate and concurrency limits per organisation, and the retry budget.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -9,7 +9,7 @@
 
 const LIMITS: OrganisationLimits = OrganisationLimits { rate_per_s: 10, concurrency_count: 100 };
 
-/// Guards against a rate that is exceeded over time, and against one that is never reached.
+/// Guards against admitting more than the rate limit over time, and against throttling below it.
 #[test]
 fn request_rate() {
     let mut table = QuotaTable::new();
@@ -21,13 +21,13 @@
             table.release(&name);
         }
     }
-    // A second's worth at once, then ten a second for five seconds.
+    // A burst of one second's requests, then ten requests per second for five seconds.
     assert!((59..=60).contains(&accepted), "{accepted}");
 }
 
-/// Guards against a refusal without a usable time to come back.
+/// Guards against a retry time that is too early to succeed or later than necessary.
 #[test]
-fn retry_time() {
+fn retry_after() {
     let mut table = QuotaTable::new();
     let name = OrganisationName::new("lender").unwrap();
     for _ in 0..10 {
@@ -38,7 +38,7 @@
     table.acquire(&name, LIMITS, TimestampMs::new(100)).unwrap();
 }
 
-/// Guards against a limit on concurrency that leaks or is not freed.
+/// Guards against a concurrency limit that applies across organisations or is not released.
 #[test]
 fn request_concurrency() {
     let limits = OrganisationLimits { rate_per_s: 1_000, concurrency_count: 2 };
@@ -54,7 +54,7 @@
     table.acquire(&name, limits, now).unwrap();
 }
 
-/// Guards against retries that multiply an overload.
+/// Guards against retries that amplify an overload because they exceed their share.
 #[test]
 fn retry_budget() {
     let settings = RetryBudgetSettings { per_request_milli: 100, burst_count: 5 };
