--- a/crates/yuccatack_placement/src/baseline.rs
+++ b/crates/yuccatack_placement/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines that the policy is measured against.
+//! Baseline policies for comparisons with [`place`](crate::place).
 
 use yuccatack_core::prelude::*;
 
@@ -6,12 +6,13 @@
 use crate::search::{Assignment, Placement};
 use crate::slot_count;
 
-/// The first domain in index order that holds the gang, filled in worker order.
+/// Places the gang in the first domain in index order that can hold it, in worker order.
 pub fn first_fit(overlay: &Overlay<'_>, shape: &Shape) -> Option<Placement> {
     scan(overlay, shape, |workers| workers)
 }
 
-/// The domain with the least free capacity that holds the gang, fullest workers first.
+/// Places the gang on the workers with the fewest free accelerators first, in the first domain in
+/// this order that can hold it.
 pub fn best_fit(overlay: &Overlay<'_>, shape: &Shape) -> Option<Placement> {
     let free = |worker: u32| overlay.free(worker).accelerator_count;
     scan(overlay, shape, |mut workers: Vec<u32>| {
@@ -25,11 +26,11 @@
     Order: Fn(Vec<u32>) -> Vec<u32>,
 {
     let mut domains: Vec<(u32, Vec<u32>)> = Vec::new();
-    for (index, cell) in overlay.cluster().workers() {
+    for (index, worker) in overlay.cluster().workers() {
         let key = match shape.adjacency {
             Adjacency::Worker => index,
-            Adjacency::Rack => cell.rack,
-            Adjacency::DataCentre => cell.data_centre,
+            Adjacency::Rack => worker.rack,
+            Adjacency::DataCentre => worker.data_centre,
         };
         match domains.iter_mut().find(|(domain, _)| *domain == key) {
             Some((_, workers)) => workers.push(index),
@@ -38,8 +39,8 @@
     }
     let by_domain = domains.iter().map(|(_, workers)| workers);
     let mut groups: Vec<Vec<u32>> = by_domain.cloned().collect();
-    let flat: Vec<u32> = order(groups.iter().flatten().copied().collect());
-    let position = |worker: &u32| flat.iter().position(|other| other == worker);
+    let ordered: Vec<u32> = order(groups.iter().flatten().copied().collect());
+    let position = |worker: &u32| ordered.iter().position(|other| other == worker);
     for group in &mut groups {
         group.sort_by_key(position);
     }
@@ -48,15 +49,15 @@
 }
 
 fn fill(overlay: &Overlay<'_>, shape: &Shape, workers: &[u32]) -> Option<Placement> {
-    let mut missing = shape.task_count;
+    let mut remaining_count = shape.task_count;
     let mut assignments = Vec::new();
     for worker in workers {
-        let task_count = slot_count(&overlay.free(*worker), &shape.task).min(missing);
+        let task_count = slot_count(&overlay.free(*worker), &shape.task).min(remaining_count);
         if task_count > 0 {
             assignments.push(Assignment { worker: *worker, task_count });
-            missing -= task_count;
+            remaining_count -= task_count;
         }
-        if missing == 0 {
+        if remaining_count == 0 {
             return Some(Placement { assignments, score: 0.0 });
         }
     }
--- a/crates/yuccatack_placement/src/cluster.rs
+++ b/crates/yuccatack_placement/src/cluster.rs
@@ -1,56 +1,56 @@
-//! The capacity of all workers and who holds it.
+//! Capacity and allocations of all workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
 
-use crate::domain::FreeIndex;
+use crate::domain::FreeCapacityIndex;
 
-/// Data centres in which room for a starved gang is sought.
-const MAX_SOUGHT_CENTRES: usize = 4;
-/// Workers of one data centre in which room for a starved gang is sought; half more than the
-/// largest gang of 64 has tasks.
-const MAX_SOUGHT_WORKERS: usize = 96;
-/// Racks, or single workers, of one data centre in which room is sought.
-const MAX_SOUGHT_RACKS: usize = 24;
+/// Maximum number of data centres searched for capacity for a starved gang.
+const MAX_SEARCHED_DATA_CENTRE_COUNT: usize = 4;
+/// Maximum number of workers of a data centre searched for capacity for a starved gang; 1.5 times
+/// the task count of the largest gang, which is 64.
+const MAX_SEARCHED_WORKER_COUNT: usize = 96;
+/// Maximum number of racks, or of single workers, of a data centre searched for capacity.
+const MAX_SEARCHED_RACK_COUNT: usize = 24;
 
-/// The position of a worker in the cluster; reused after the worker is forgotten.
+/// Index of a worker in a [`Cluster`]; it is reused after the worker has been removed.
 pub type WorkerIndex = u32;
-/// The position of a rack in the cluster.
+/// Index of a rack in a [`Cluster`]; it is never reused.
 pub type RackIndex = u32;
-/// The position of a data centre in the cluster.
+/// Index of a data centre in a [`Cluster`]; it is never reused.
 pub type DataCentreIndex = u32;
 
-/// The capacity of one worker.
+/// Capacity of a worker and its allocations.
 ///
-/// Two bounds hold at all times: `used` never exceeds `total`, and on a schedulable worker `firm`
-/// plus `reserved` never exceeds `total`. The second one is what makes a guarantee reclaimable.
+/// Two invariants hold: `used` never exceeds `total`, and on a schedulable worker the sum of `firm`
+/// and `reserved` never exceeds `total`. The second one makes guarantees reclaimable.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCapacity {
-    /// The worker.
+    /// Name of the worker, unique in the cluster.
     pub name: WorkerName,
-    /// Its data centre.
+    /// Index of the data centre that contains the worker.
     pub data_centre: DataCentreIndex,
-    /// Its rack.
+    /// Index of the rack that contains the worker.
     pub rack: RackIndex,
-    /// Everything it has.
+    /// Total resources of the worker.
     pub total: Resources,
-    /// Held by attempts until their end is confirmed.
+    /// Resources allocated to attempts until their termination is confirmed.
     pub used: Resources,
-    /// Promised to attempts that wait for reclaimed capacity.
+    /// Resources booked for attempts that wait for capacity to be reclaimed.
     pub booked: Resources,
-    /// The part of `used` and `booked` that cannot be reclaimed.
+    /// Part of `used` and `booked` that cannot be reclaimed.
     pub firm: Resources,
-    /// Set aside for unclaimed guarantees; borrowers may use it.
+    /// Resources reserved for unclaimed guarantees; reclaimable attempts may borrow them.
     pub reserved: Resources,
-    /// One bit for each accelerator in use.
+    /// Bit mask of the accelerators in use.
     pub accelerator_mask: u64,
-    /// Whether new work may be placed here.
+    /// `true` if new attempts may be placed on the worker.
     pub schedulable: bool,
 }
 
-/// The difference, with amounts that would be negative set to zero.
+/// Subtracts each amount, saturating at zero.
 pub(crate) fn saturating_sub(left: &Resources, right: &Resources) -> Resources {
     Resources {
         cores_milli: left.cores_milli.saturating_sub(right.cores_milli),
@@ -68,12 +68,12 @@
 }
 
 impl WorkerCapacity {
-    /// What a new attempt may use at once.
+    /// Returns the resources that a new attempt may use immediately.
     pub fn free(&self) -> Resources {
         saturating_sub(&self.total, &sum(&self.used, &self.booked))
     }
 
-    /// What work that cannot be reclaimed may take without touching a guarantee.
+    /// Returns the resources that non-reclaimable attempts may use without violating a guarantee.
     pub fn firm_headroom(&self) -> Resources {
         saturating_sub(&self.total, &sum(&self.firm, &self.reserved))
     }
@@ -83,18 +83,18 @@
 pub(crate) struct Rack {
     pub(crate) name: RackName,
     pub(crate) data_centre: DataCentreIndex,
-    pub(crate) index: FreeIndex,
+    pub(crate) index: FreeCapacityIndex,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct DataCentre {
     pub(crate) name: DataCentreName,
-    pub(crate) index: FreeIndex,
+    pub(crate) index: FreeCapacityIndex,
     pub(crate) racks_by_name: BTreeMap<RackName, RackIndex>,
     pub(crate) racks_by_free: BTreeMap<u64, BTreeSet<RackIndex>>,
 }
 
-/// All workers with their capacity, indexed by data centre, rack and free amount.
+/// Set of workers with their capacity, indexed by data centre, rack and free amount.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cluster {
     pub(crate) cells: Vec<Option<WorkerCapacity>>,
@@ -106,7 +106,8 @@
 }
 
 impl Cluster {
-    /// Adds a schedulable worker, or returns the index of the one with this name.
+    /// Adds a schedulable worker and returns its index. If a worker with this name exists, returns
+    /// the index of that worker unchanged.
     pub fn add_worker(
         &mut self,
         name: &WorkerName,
@@ -119,7 +120,7 @@
         }
         let data_centre = self.intern_data_centre(data_centre);
         let rack = self.intern_rack(data_centre, rack);
-        let cell = WorkerCapacity {
+        let worker = WorkerCapacity {
             name: name.clone(),
             data_centre,
             rack,
@@ -133,129 +134,131 @@
         };
         let index = match self.vacant.pop() {
             Some(index) => {
-                self.cells[index as usize] = Some(cell);
+                self.cells[index as usize] = Some(worker);
                 index
             }
             None => {
-                self.cells.push(Some(cell));
+                self.cells.push(Some(worker));
                 u32::try_from(self.cells.len() - 1).unwrap_or(u32::MAX)
             }
         };
         self.by_name.insert(name.clone(), index);
-        self.link(index);
+        self.add_to_indexes(index);
         index
     }
 
-    /// Forgets a worker that holds nothing.
+    /// Removes a worker, which must have no allocations.
     pub fn remove_worker(&mut self, index: WorkerIndex) {
-        self.unlink(index);
-        if let Some(cell) = self.cells.get_mut(index as usize).and_then(Option::take) {
-            self.by_name.remove(&cell.name);
+        self.remove_from_indexes(index);
+        if let Some(worker) = self.cells.get_mut(index as usize).and_then(Option::take) {
+            self.by_name.remove(&worker.name);
             self.vacant.push(index);
         }
     }
 
-    /// The index of a worker.
+    /// Returns the index of a worker, or `None` if no worker has this name.
     pub fn worker_index(&self, name: &WorkerName) -> Option<WorkerIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// The capacity of a worker.
+    /// Returns the capacity of a worker, or `None` if the index is vacant.
     pub fn worker(&self, index: WorkerIndex) -> Option<&WorkerCapacity> {
         self.cells.get(index as usize).and_then(Option::as_ref)
     }
 
-    /// Every worker, in the order of their indexes.
+    /// Iterates over all workers in index order.
     pub fn workers(&self) -> impl Iterator<Item = (WorkerIndex, &WorkerCapacity)> {
         self.cells
             .iter()
             .enumerate()
-            .filter_map(|(index, cell)| Some((index as WorkerIndex, cell.as_ref()?)))
+            .filter_map(|(index, worker)| Some((index as WorkerIndex, worker.as_ref()?)))
     }
 
-    /// The index of a data centre that has or had workers.
+    /// Returns the index of a data centre; `None` if it has never had workers.
     pub fn data_centre_index(&self, name: &DataCentreName) -> Option<DataCentreIndex> {
         self.data_centres_by_name.get(name).copied()
     }
 
-    /// The number of data centres.
+    /// Returns the number of data centres that have or had workers.
     pub fn data_centre_count(&self) -> u32 {
         self.data_centres.len() as u32
     }
 
-    /// The name of a data centre.
+    /// Returns the name of a data centre, or `None` if the index is out of range.
     pub fn data_centre_name(&self, index: DataCentreIndex) -> Option<&DataCentreName> {
         self.data_centres.get(index as usize).map(|data_centre| &data_centre.name)
     }
 
-    /// The name of a rack.
+    /// Returns the name of a rack, or `None` if the index is out of range.
     pub fn rack_name(&self, index: RackIndex) -> Option<&RackName> {
         self.racks.get(index as usize).map(|rack| &rack.name)
     }
 
-    /// Free accelerators on schedulable workers.
+    /// Returns the number of free accelerators on schedulable workers.
     pub fn free_accelerator_count(&self) -> u64 {
         self.data_centres.iter().map(|data_centre| data_centre.index.free_accelerator_count()).sum()
     }
 
-    /// The domains in which a gang of this adjacency may get room soonest, as their workers with
-    /// the most free accelerators first. On a large platform only the emptiest domains and
-    /// workers are returned, so that the cost of a search does not grow with the platform.
+    /// Returns the domains that may soonest have capacity for a gang of this adjacency.
+    ///
+    /// A domain is a list of its workers, those with the most free accelerators first. On a large
+    /// platform only the domains and workers with the most free accelerators are returned, so that
+    /// the cost of a search does not grow with the platform.
     pub fn emptiest_domains(&self, adjacency: Adjacency) -> Vec<Vec<WorkerIndex>> {
         let mut centres: Vec<&DataCentre> = self.data_centres.iter().collect();
         centres.sort_by_key(|centre| std::cmp::Reverse(centre.index.free_accelerator_count()));
         match adjacency {
             Adjacency::DataCentre => centres
                 .iter()
-                .take(MAX_SOUGHT_CENTRES)
-                .map(|centre| centre.index.emptiest().take(MAX_SOUGHT_WORKERS).collect())
+                .take(MAX_SEARCHED_DATA_CENTRE_COUNT)
+                .map(|centre| centre.index.emptiest().take(MAX_SEARCHED_WORKER_COUNT).collect())
                 .collect(),
             Adjacency::Rack => centres
                 .iter()
                 .flat_map(|centre| {
                     let racks = centre.racks_by_free.values().rev().flatten();
-                    racks.take(MAX_SOUGHT_RACKS)
+                    racks.take(MAX_SEARCHED_RACK_COUNT)
                 })
                 .map(|rack| self.racks[*rack as usize].index.emptiest().collect())
                 .collect(),
             Adjacency::Worker => centres
                 .iter()
-                .flat_map(|centre| centre.index.emptiest().take(MAX_SOUGHT_RACKS))
+                .flat_map(|centre| centre.index.emptiest().take(MAX_SEARCHED_RACK_COUNT))
                 .map(|worker| vec![worker])
                 .collect(),
         }
     }
 
-    /// Changes a worker's capacity and keeps the index up to date.
+    /// Applies `change` to the capacity of a worker and updates the free-capacity indexes.
     pub fn update<Change>(&mut self, index: WorkerIndex, change: Change)
     where
         Change: FnOnce(&mut WorkerCapacity),
     {
-        self.unlink(index);
-        if let Some(cell) = self.cells.get_mut(index as usize).and_then(Option::as_mut) {
-            change(cell);
+        self.remove_from_indexes(index);
+        if let Some(worker) = self.cells.get_mut(index as usize).and_then(Option::as_mut) {
+            change(worker);
         }
-        self.link(index);
+        self.add_to_indexes(index);
     }
 
-    /// Takes `count` accelerators of a worker, out of one aligned group where possible.
+    /// Allocates `count` accelerators of a worker and returns their bit mask.
     ///
-    /// Aligned groups of 2, 4 and 8 share the fast links of a worker; a request that no aligned
-    /// group can serve gets whatever is free.
+    /// The accelerators belong to one aligned group where possible, because aligned groups of 2, 4
+    /// and 8 share the fast links of a worker. Otherwise any free accelerators are allocated.
     pub fn allocate_accelerators(&mut self, index: WorkerIndex, count: u32) -> u64 {
-        let Some(cell) = self.cells.get_mut(index as usize).and_then(Option::as_mut) else {
+        let Some(worker) = self.cells.get_mut(index as usize).and_then(Option::as_mut) else {
             return 0;
         };
-        let free = !cell.accelerator_mask & low_bits(cell.total.accelerator_count);
+        let free = !worker.accelerator_mask & low_bits(worker.total.accelerator_count);
         let mask = aligned_mask(free, count);
-        cell.accelerator_mask |= mask;
+        worker.accelerator_mask |= mask;
         mask
     }
 
-    /// Gives accelerators of a worker back.
+    /// Releases the accelerators of a worker that are set in `mask`.
     pub fn release_accelerators(&mut self, index: WorkerIndex, mask: u64) {
-        if let Some(cell) = self.cells.get_mut(index as usize).and_then(Option::as_mut) {
-            cell.accelerator_mask &= !mask;
+        if let Some(worker) = self.cells.get_mut(index as usize).and_then(Option::as_mut) {
+            worker.accelerator_mask &= !mask;
         }
     }
 
@@ -266,7 +269,7 @@
         let index = self.data_centres.len() as DataCentreIndex;
         self.data_centres.push(DataCentre {
             name: name.clone(),
-            index: FreeIndex::default(),
+            index: FreeCapacityIndex::default(),
             racks_by_name: BTreeMap::new(),
             racks_by_free: BTreeMap::new(),
         });
@@ -276,35 +279,39 @@
 
     fn intern_rack(&mut self, data_centre: DataCentreIndex, name: &RackName) -> RackIndex {
         let next = self.racks.len() as RackIndex;
-        let owner = &mut self.data_centres[data_centre as usize];
-        if let Some(index) = owner.racks_by_name.get(name) {
+        let parent = &mut self.data_centres[data_centre as usize];
+        if let Some(index) = parent.racks_by_name.get(name) {
             return *index;
         }
-        owner.racks_by_name.insert(name.clone(), next);
-        owner.racks_by_free.entry(0).or_default().insert(next);
-        self.racks.push(Rack { name: name.clone(), data_centre, index: FreeIndex::default() });
+        parent.racks_by_name.insert(name.clone(), next);
+        parent.racks_by_free.entry(0).or_default().insert(next);
+        self.racks.push(Rack {
+            name: name.clone(),
+            data_centre,
+            index: FreeCapacityIndex::default(),
+        });
         next
     }
 
-    fn link(&mut self, index: WorkerIndex) {
-        self.reindex(index, FreeIndex::insert);
+    fn add_to_indexes(&mut self, index: WorkerIndex) {
+        self.update_indexes(index, FreeCapacityIndex::insert);
     }
 
-    fn unlink(&mut self, index: WorkerIndex) {
-        self.reindex(index, FreeIndex::remove);
+    fn remove_from_indexes(&mut self, index: WorkerIndex) {
+        self.update_indexes(index, FreeCapacityIndex::remove);
     }
 
-    fn reindex<Change>(&mut self, index: WorkerIndex, change: Change)
+    fn update_indexes<Change>(&mut self, index: WorkerIndex, change: Change)
     where
-        Change: Fn(&mut FreeIndex, WorkerIndex, &Resources),
+        Change: Fn(&mut FreeCapacityIndex, WorkerIndex, &Resources),
     {
-        let Some(cell) = self.cells.get(index as usize).and_then(Option::as_ref) else { return };
-        if !cell.schedulable {
+        let Some(worker) = self.cells.get(index as usize).and_then(Option::as_ref) else { return };
+        if !worker.schedulable {
             return;
         }
-        let free = cell.free();
-        let rack = &mut self.racks[cell.rack as usize];
-        let data_centre = &mut self.data_centres[cell.data_centre as usize];
+        let free = worker.free();
+        let rack = &mut self.racks[worker.rack as usize];
+        let data_centre = &mut self.data_centres[worker.data_centre as usize];
         let before = rack.index.free_accelerator_count();
         change(&mut rack.index, index, &free);
         let after = rack.index.free_accelerator_count();
@@ -313,12 +320,12 @@
             return;
         }
         if let Some(racks) = data_centre.racks_by_free.get_mut(&before) {
-            racks.remove(&cell.rack);
+            racks.remove(&worker.rack);
             if racks.is_empty() {
                 data_centre.racks_by_free.remove(&before);
             }
         }
-        data_centre.racks_by_free.entry(after).or_default().insert(cell.rack);
+        data_centre.racks_by_free.entry(after).or_default().insert(worker.rack);
     }
 }
 
@@ -334,10 +341,10 @@
     while width < u64::BITS {
         let best = (0..u64::BITS / width)
             .map(|group| free & (low_bits(width) << (group * width)))
-            .filter(|part| part.count_ones() >= count)
-            .min_by_key(|part| part.count_ones());
-        if let Some(part) = best {
-            return lowest_bits(part, count);
+            .filter(|candidate| candidate.count_ones() >= count)
+            .min_by_key(|candidate| candidate.count_ones());
+        if let Some(candidate) = best {
+            return lowest_bits(candidate, count);
         }
         width *= 2;
     }
@@ -345,11 +352,11 @@
 }
 
 fn lowest_bits(mut source: u64, count: u32) -> u64 {
-    let mut taken = 0;
+    let mut selected = 0;
     for _ in 0..count {
         let bit = source & source.wrapping_neg();
-        taken |= bit;
+        selected |= bit;
         source &= !bit;
     }
-    taken
+    selected
 }
--- a/crates/yuccatack_placement/src/domain.rs
+++ b/crates/yuccatack_placement/src/domain.rs
@@ -1,4 +1,4 @@
-//! The index of free capacity within one rack or data centre.
+//! Index of the free capacity within a rack or data centre.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,14 +8,16 @@
 use crate::cluster::WorkerIndex;
 
 /// Workers of one domain, grouped by free accelerators and by the magnitude of free cores.
+///
+/// Only schedulable workers are indexed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct FreeIndex {
+pub(crate) struct FreeCapacityIndex {
     groups: BTreeMap<u32, BTreeSet<WorkerIndex>>,
     free_accelerator_count: u64,
 }
 
-/// Free cores are grouped by powers of two, so that a search skips workers whose accelerators are
-/// free but whose cores are taken.
+/// Returns the bit length of an amount of cores. Grouping by powers of two lets a search skip
+/// workers that have free accelerators but too few free cores.
 fn core_magnitude(cores_milli: u64) -> u32 {
     u64::BITS - cores_milli.leading_zeros()
 }
@@ -24,7 +26,7 @@
     (free.accelerator_count << 8) | core_magnitude(free.cores_milli)
 }
 
-impl FreeIndex {
+impl FreeCapacityIndex {
     pub(crate) fn insert(&mut self, worker: WorkerIndex, free: &Resources) {
         self.groups.entry(group_of(free)).or_default().insert(worker);
         self.free_accelerator_count += u64::from(free.accelerator_count);
@@ -46,25 +48,27 @@
         self.free_accelerator_count
     }
 
-    /// Workers that may serve `task`, those with the fewest free accelerators first.
+    /// Iterates over workers that may have capacity for `task`, those with the fewest free
+    /// accelerators first.
     pub(crate) fn candidates(
         &self,
         task: &Resources,
     ) -> impl Iterator<Item = WorkerIndex> + use<'_> {
-        let least_cores = core_magnitude(task.cores_milli);
-        let least = task.accelerator_count << 8;
+        let min_core_magnitude = core_magnitude(task.cores_milli);
+        let min_group = task.accelerator_count << 8;
         self.groups
-            .range(least..)
-            .filter(move |(group, _)| (**group & 0xff) >= least_cores)
+            .range(min_group..)
+            .filter(move |(group, _)| (**group & 0xff) >= min_core_magnitude)
             .flat_map(|(_, members)| members.iter().copied())
     }
 
-    /// Workers with the most free accelerators first.
+    /// Iterates over all workers, those with the most free accelerators first.
     pub(crate) fn emptiest(&self) -> impl Iterator<Item = WorkerIndex> + '_ {
         self.groups.values().rev().flat_map(|members| members.iter().copied())
     }
 
-    /// The tasks with `accelerator_count` accelerators each that fit, cores and memory aside.
+    /// Returns the number of tasks with `accelerator_count` accelerators each that fit, regardless
+    /// of cores and memory.
     pub(crate) fn accelerator_slots(&self, accelerator_count: u32) -> u64 {
         if accelerator_count == 0 {
             return u64::MAX;
--- a/crates/yuccatack_placement/src/fragmentation.rs
+++ b/crates/yuccatack_placement/src/fragmentation.rs
@@ -1,4 +1,4 @@
-//! The share of free accelerators that cannot serve the shapes in demand.
+//! Fragmentation: the share of free accelerators that cannot serve the demanded shapes.
 
 use yuccatack_core::prelude::*;
 
@@ -6,91 +6,98 @@
 use crate::overlay::Overlay;
 use crate::search::Assignment;
 
-/// A shape in demand and how much it counts.
+/// Demanded shape and its weight in a [`DemandProfile`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedShape {
-    /// The shape.
+    /// Resources and adjacency of a gang in demand.
     pub shape: Shape,
-    /// Its weight; the weights of a profile add up to one.
+    /// Relative weight of the shape; a profile scales its weights to a sum of one.
     pub weight: f64,
 }
 
-/// The shapes that are demanded or guaranteed.
+/// Weighted set of the shapes that are demanded or guaranteed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandProfile {
     shapes: Vec<WeightedShape>,
 }
 
-/// More shapes than this add cost to each decision and hardly change the result.
+/// Maximum number of shapes in a profile. More shapes make each decision more expensive and hardly
+/// change the result.
 const MAX_SHAPE_COUNT: usize = 8;
 
 impl DemandProfile {
-    /// Keeps the shapes with the most weight and scales their weights to a sum of one.
+    /// Creates a profile of the shapes with the largest weights and scales these to a sum of one.
+    ///
+    /// Shapes without accelerators or without positive weight are dropped.
     pub fn new(mut shapes: Vec<WeightedShape>) -> Self {
-        shapes.retain(|entry| entry.shape.task.accelerator_count > 0 && entry.weight > 0.0);
+        shapes
+            .retain(|weighted| weighted.shape.task.accelerator_count > 0 && weighted.weight > 0.0);
         shapes.sort_by(|left, right| right.weight.total_cmp(&left.weight));
         shapes.truncate(MAX_SHAPE_COUNT);
-        let total: f64 = shapes.iter().map(|entry| entry.weight).sum();
-        for entry in &mut shapes {
-            entry.weight /= total;
+        let total: f64 = shapes.iter().map(|weighted| weighted.weight).sum();
+        for weighted in &mut shapes {
+            weighted.weight /= total;
         }
         Self { shapes }
     }
 
-    /// The shapes with their weights.
+    /// Returns the shapes in order of decreasing weight.
     pub fn shapes(&self) -> &[WeightedShape] {
         &self.shapes
     }
 }
 
-fn whole_gangs(slots: u64, shape: &Shape) -> u64 {
+fn whole_gang_accelerators(slots: u64, shape: &Shape) -> u64 {
     let tasks = u64::from(shape.task_count.max(1));
     slots / tasks * tasks * u64::from(shape.task.accelerator_count)
 }
 
-/// The share of free accelerators that cannot serve `profile`, between 0 and 1.
+/// Returns the share of free accelerators that cannot serve `profile`, between 0 and 1.
 ///
-/// A free accelerator can serve a shape when some placement of one whole gang uses it.
+/// A free accelerator can serve a shape if a placement of one whole gang can use it.
 pub fn fragmentation(cluster: &Cluster, profile: &DemandProfile) -> f64 {
     let free = cluster.free_accelerator_count();
     if free == 0 {
         return 0.0;
     }
-    let unusable = |entry: &WeightedShape| {
-        let usable = servable_accelerators(cluster, &entry.shape);
-        entry.weight * (free - usable.min(free)) as f64
+    let unusable = |weighted: &WeightedShape| {
+        let usable = servable_accelerators(cluster, &weighted.shape);
+        weighted.weight * (free - usable.min(free)) as f64
     };
     profile.shapes.iter().map(unusable).sum::<f64>() / free as f64
 }
 
-/// Free accelerators on workers that can hold a task, in domains that can hold the gang.
+/// Returns the number of free accelerators on workers that can hold a task, in domains that can
+/// hold the gang.
 fn servable_accelerators(cluster: &Cluster, shape: &Shape) -> u64 {
     let count = shape.task.accelerator_count;
     let mut domains: FastHashMap<u32, (u64, u64)> = FastHashMap::default();
-    for (index, cell) in cluster.workers().filter(|(_, cell)| cell.schedulable) {
-        let free = cell.free().accelerator_count;
+    for (index, worker) in cluster.workers().filter(|(_, worker)| worker.schedulable) {
+        let free = worker.free().accelerator_count;
         if free < count {
             continue;
         }
-        let key = domain_key(shape.adjacency, index, cell.rack, cell.data_centre);
+        let key = domain_key(shape.adjacency, index, worker.rack, worker.data_centre);
         let domain = domains.entry(key).or_default();
         domain.0 += u64::from(free / count);
         domain.1 += u64::from(free);
     }
-    let whole = |(slots, _): &&(u64, u64)| *slots >= u64::from(shape.task_count);
-    domains.values().filter(whole).map(|(_, free)| free).sum()
+    let fits_gang = |(slots, _): &&(u64, u64)| *slots >= u64::from(shape.task_count);
+    domains.values().filter(fits_gang).map(|(_, free)| free).sum()
 }
 
-/// The share of free accelerators that remains when as many whole gangs as possible are placed,
-/// for each shape of `profile` alone. Stricter than [`fragmentation`].
+/// Returns the share of free accelerators that remain after placing as many whole gangs as
+/// possible, between 0 and 1.
+///
+/// Each shape of `profile` is placed separately. The measure is stricter than [`fragmentation`].
 pub fn remainder(cluster: &Cluster, profile: &DemandProfile) -> f64 {
     let free = cluster.free_accelerator_count();
     if free == 0 {
         return 0.0;
     }
-    let unusable = |entry: &WeightedShape| {
-        let usable = usable_accelerators(cluster, &entry.shape);
-        entry.weight * (free - usable.min(free)) as f64
+    let unusable = |weighted: &WeightedShape| {
+        let usable = usable_accelerators(cluster, &weighted.shape);
+        weighted.weight * (free - usable.min(free)) as f64
     };
     profile.shapes.iter().map(unusable).sum::<f64>() / free as f64
 }
@@ -100,25 +107,30 @@
     match shape.adjacency {
         Adjacency::Worker => cluster
             .workers()
-            .filter(|(_, cell)| cell.schedulable)
-            .map(|(_, cell)| whole_gangs(u64::from(cell.free().accelerator_count / count), shape))
+            .filter(|(_, worker)| worker.schedulable)
+            .map(|(_, worker)| {
+                whole_gang_accelerators(u64::from(worker.free().accelerator_count / count), shape)
+            })
             .sum(),
         Adjacency::Rack => cluster
             .racks
             .iter()
-            .map(|rack| whole_gangs(rack.index.accelerator_slots(count), shape))
+            .map(|rack| whole_gang_accelerators(rack.index.accelerator_slots(count), shape))
             .sum(),
         Adjacency::DataCentre => cluster
             .data_centres
             .iter()
-            .map(|data_centre| whole_gangs(data_centre.index.accelerator_slots(count), shape))
+            .map(|data_centre| {
+                whole_gang_accelerators(data_centre.index.accelerator_slots(count), shape)
+            })
             .sum(),
     }
 }
 
-/// How many more free accelerators become unusable when `assignments` are carried out.
+/// Returns the increase in unusable free accelerators that results from `assignments`, weighted by
+/// `profile`.
 ///
-/// Looks only at the domains that the assignments touch.
+/// Only the domains of the assignments are evaluated.
 pub(crate) fn growth(
     overlay: &Overlay<'_>,
     profile: &DemandProfile,
@@ -128,12 +140,12 @@
     profile
         .shapes
         .iter()
-        .map(|entry| entry.weight * shape_growth(overlay, &entry.shape, task, assignments))
+        .map(|weighted| weighted.weight * shape_growth(overlay, &weighted.shape, task, assignments))
         .sum()
 }
 
-/// How many free accelerators become usable when a running gang leaves `assignments`, net of the
-/// accelerators that it frees itself.
+/// Returns the number of free accelerators that become usable when a running gang releases
+/// `assignments`, weighted by `profile` and net of the accelerators that the gang itself releases.
 pub fn release_gain(
     cluster: &Cluster,
     profile: &DemandProfile,
@@ -143,7 +155,7 @@
     profile
         .shapes
         .iter()
-        .map(|entry| entry.weight * shape_gain(cluster, &entry.shape, task, assignments))
+        .map(|weighted| weighted.weight * shape_gain(cluster, &weighted.shape, task, assignments))
         .sum()
 }
 
@@ -155,21 +167,23 @@
 ) -> f64 {
     let count = shape.task.accelerator_count;
     let mut gain = 0;
-    // The parts of one gang mostly share a domain; each part alone is a lower bound.
-    for part in assignments {
-        let Some(cell) = cluster.worker(part.worker) else { continue };
-        let before = cell.free().accelerator_count;
-        let freed = task.accelerator_count * part.task_count;
-        let gained = u64::from((before + freed) / count - before / count);
+    // Each assignment is evaluated alone. That is a lower bound, because the assignments of a gang
+    // mostly share a domain.
+    for assignment in assignments {
+        let Some(worker) = cluster.worker(assignment.worker) else { continue };
+        let before = worker.free().accelerator_count;
+        let released = task.accelerator_count * assignment.task_count;
+        let slots_gained = u64::from((before + released) / count - before / count);
         let slots = match shape.adjacency {
             Adjacency::Worker => u64::from(before / count),
-            Adjacency::Rack => cluster.racks[cell.rack as usize].index.accelerator_slots(count),
+            Adjacency::Rack => cluster.racks[worker.rack as usize].index.accelerator_slots(count),
             Adjacency::DataCentre => {
-                cluster.data_centres[cell.data_centre as usize].index.accelerator_slots(count)
+                cluster.data_centres[worker.data_centre as usize].index.accelerator_slots(count)
             }
         };
-        let won = whole_gangs(slots + gained, shape) - whole_gangs(slots, shape);
-        gain += won as i64 - i64::from(freed);
+        let usable_gain = whole_gang_accelerators(slots + slots_gained, shape)
+            - whole_gang_accelerators(slots, shape);
+        gain += usable_gain as i64 - i64::from(released);
     }
     gain as f64
 }
@@ -184,17 +198,17 @@
     let count = shape.task.accelerator_count;
     let mut domains: FastHashMap<u32, DomainChange> = FastHashMap::default();
     for assignment in assignments {
-        let Some(cell) = cluster.worker(assignment.worker) else { continue };
+        let Some(worker) = cluster.worker(assignment.worker) else { continue };
         let before = overlay.free(assignment.worker).accelerator_count;
-        let taken = task.accelerator_count * assignment.task_count;
-        let after = before.saturating_sub(taken);
-        let key = domain_key(shape.adjacency, assignment.worker, cell.rack, cell.data_centre);
+        let allocated = task.accelerator_count * assignment.task_count;
+        let after = before.saturating_sub(allocated);
+        let key = domain_key(shape.adjacency, assignment.worker, worker.rack, worker.data_centre);
         let change = domains.entry(key).or_default();
-        change.taken += i64::from(before - after);
+        change.allocated += i64::from(before - after);
         change.slots_lost += u64::from(before / count - after / count);
         change.worker_slots += u64::from(before / count);
     }
-    let mut grown = 0;
+    let mut growth = 0;
     for (key, change) in domains {
         let slots = match shape.adjacency {
             Adjacency::Worker => change.worker_slots,
@@ -203,16 +217,16 @@
                 cluster.data_centres[key as usize].index.accelerator_slots(count)
             }
         };
-        let lost =
-            whole_gangs(slots, shape) - whole_gangs(slots.saturating_sub(change.slots_lost), shape);
-        grown += lost as i64 - change.taken;
+        let lost = whole_gang_accelerators(slots, shape)
+            - whole_gang_accelerators(slots.saturating_sub(change.slots_lost), shape);
+        growth += lost as i64 - change.allocated;
     }
-    grown as f64
+    growth as f64
 }
 
 #[derive(Default)]
 struct DomainChange {
-    taken: i64,
+    allocated: i64,
     slots_lost: u64,
     worker_slots: u64,
 }
--- a/crates/yuccatack_placement/src/search.rs
+++ b/crates/yuccatack_placement/src/search.rs
@@ -1,105 +1,111 @@
-//! The choice of workers for a gang.
+//! Selection of workers for a gang.
 
 use yuccatack_core::prelude::*;
 
 use crate::cluster::{DataCentreIndex, WorkerIndex};
-use crate::domain::FreeIndex;
+use crate::domain::FreeCapacityIndex;
 use crate::fragmentation::{DemandProfile, growth};
 use crate::overlay::Overlay;
 use crate::slot_count;
 
-/// Some tasks of a gang on one worker.
+/// Tasks of a gang that are assigned to one worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Assignment {
-    /// The worker.
+    /// Index of the worker in the cluster.
     pub worker: WorkerIndex,
-    /// How many tasks run there.
+    /// Number of tasks on the worker.
     pub task_count: u32,
 }
 
-/// A place for a whole gang.
+/// Assignment of all tasks of a gang to workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// Which workers run how many tasks; the tasks are numbered in this order.
+    /// Assignments per worker; the tasks of the gang are numbered in this order.
     pub assignments: Vec<Assignment>,
-    /// The weighted cost; lower is better.
+    /// Weighted cost of the placement; lower is better.
     pub score: f64,
 }
 
-/// How an attempt holds its capacity.
+/// Reclaimability of the capacity that is allocated to an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AllocationKind {
-    /// May be reclaimed, so it may use capacity that is set aside for guarantees.
+    /// Capacity that may be reclaimed, so that it may include capacity reserved for guarantees.
     Borrowed,
-    /// Keeps its capacity to the end, so it stays off what is set aside for guarantees.
+    /// Capacity that is held until the attempt ends, so that it excludes capacity reserved for
+    /// guarantees.
     Firm,
 }
 
-/// Capacity that a starved job waits for.
+/// Capacity that is reserved for a starved job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reservation {
-    /// The workers it is expected to use.
+    /// Workers that the job is expected to use.
     pub workers: FastHashSet<WorkerIndex>,
-    /// When they are expected to be free.
+    /// Expected time at which the workers are free.
     pub start_at: TimestampMs,
-    /// Whether nobody else may use them, because they are being freed for the job right now.
+    /// `true` if no other job may use the workers, because they are being vacated for the job.
     pub exclusive: bool,
 }
 
 impl Reservation {
-    /// Whether a job must stay off the reserved workers.
+    /// Returns `true` if a job with this expected end must not use the reserved workers.
     pub fn excludes(&self, expected_end: TimestampMs, preemptible: bool) -> bool {
         self.exclusive || (!preemptible && expected_end > self.start_at)
     }
 }
 
-/// The weights of the two parts of a score.
+/// Weights of the components of a score.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// For each second of expected delay.
+    /// Cost per second of expected delay.
     pub completion: f64,
-    /// For each free accelerator that becomes unusable.
+    /// Cost per free accelerator that becomes unusable.
     pub fragmentation: f64,
 }
 
-/// What to place.
+/// Placement request for a gang.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
-    /// The gang.
+    /// Resources and adjacency of the gang.
     pub shape: Shape,
-    /// Where it may run; empty means anywhere.
+    /// Permitted data centres; empty permits all.
     pub data_centres: &'a [DataCentreIndex],
-    /// How it holds its capacity.
+    /// Reclaimability of the allocated capacity.
     pub allocation_kind: AllocationKind,
-    /// Workers that must not be used, because the job failed on them.
+    /// Workers that must not be used, because the job has failed on them.
     pub excluded: &'a [WorkerIndex],
-    /// Capacity that another job waits for.
+    /// Capacity that is reserved for another job.
     pub reservation: Option<&'a Reservation>,
-    /// When the job is expected to end if it starts now.
+    /// Expected end of the job if it starts now.
     pub expected_end: TimestampMs,
-    /// Whether the job can be checkpointed to give way to the holder of the reservation.
+    /// `true` if the job can be checkpointed and preempted in favour of the reserving job.
     pub preemptible: bool,
-    /// The shapes that should remain servable.
+    /// Demanded shapes for which free capacity should remain usable.
     pub profile: &'a DemandProfile,
-    /// The weights of the score.
+    /// Weights of the score that `place` minimizes.
     pub weights: Weights,
 }
 
-/// More single workers of one data centre than this are not compared, for the same reason.
-const MAX_WORKER_CANDIDATES: usize = 8;
-/// Small enough that a free rack of 64 accelerators weighs less than one unusable accelerator.
-const RACK_BIAS: f64 = 0.01;
-/// More racks than this are not compared for one gang; they are visited in best-fit order, so
-/// that later ones rarely win.
-const MAX_RACK_CANDIDATES: usize = 12;
+/// Maximum number of workers of a data centre compared for a gang that fits on one worker.
+/// Candidates are visited in best-fit order, so that later ones rarely win.
+const MAX_WORKER_CANDIDATE_COUNT: usize = 8;
+/// Cost per free accelerator in a chosen rack, in unusable accelerators. A free rack of 64
+/// accelerators must weigh less than one unusable accelerator.
+const RACK_BIAS_PER_ACCELERATOR: f64 = 0.01;
+/// Maximum number of racks of a data centre compared for one gang. Racks are visited in best-fit
+/// order, so that later ones rarely win.
+const MAX_RACK_CANDIDATE_COUNT: usize = 12;
 
-/// Chooses the place with the lowest score, or nothing when the whole gang does not fit now.
+/// Returns the placement with the lowest score among the candidates, or `None` if the whole gang
+/// does not fit now.
 pub fn place(overlay: &Overlay<'_>, request: &Request<'_>) -> Option<Placement> {
     let mut best: Option<Placement> = None;
-    let mut offer = |assignments: Option<Vec<Assignment>>| {
+    let mut consider = |assignments: Option<Vec<Assignment>>| {
         let Some(assignments) = assignments else { return false };
-        let grown = growth(overlay, request.profile, &request.shape.task, &assignments);
-        let score = request.weights.fragmentation * (grown + rack_bias(overlay, &assignments));
+        let fragmentation_growth =
+            growth(overlay, request.profile, &request.shape.task, &assignments);
+        let score = request.weights.fragmentation
+            * (fragmentation_growth + rack_bias(overlay, &assignments));
         if best.as_ref().is_none_or(|found| score < found.score) {
             best = Some(Placement { assignments, score });
         }
@@ -116,12 +122,14 @@
             Adjacency::Worker => {
                 let task_count = request.shape.task_count;
                 single_workers(overlay, request, &domain.index)
-                    .filter(|worker| offer(Some(vec![Assignment { worker: *worker, task_count }])))
-                    .take(MAX_WORKER_CANDIDATES)
+                    .filter(|worker| {
+                        consider(Some(vec![Assignment { worker: *worker, task_count }]))
+                    })
+                    .take(MAX_WORKER_CANDIDATE_COUNT)
                     .for_each(drop);
             }
             Adjacency::DataCentre => {
-                offer(fill(overlay, request, &domain.index));
+                consider(fill(overlay, request, &domain.index));
             }
             Adjacency::Rack => {
                 let needed = u64::from(request.shape.task_count)
@@ -132,9 +140,9 @@
                     .flat_map(|(_, racks)| racks)
                     .filter(|rack| {
                         let index = &overlay.cluster().racks[**rack as usize].index;
-                        offer(fill(overlay, request, index))
+                        consider(fill(overlay, request, index))
                     })
-                    .take(MAX_RACK_CANDIDATES)
+                    .take(MAX_RACK_CANDIDATE_COUNT)
                     .for_each(drop);
             }
         }
@@ -142,16 +150,16 @@
     best
 }
 
-/// The tasks of the request that fit on a worker now.
+/// Returns the number of tasks of the request that fit on a worker now.
 fn slots_on(overlay: &Overlay<'_>, request: &Request<'_>, worker: WorkerIndex) -> u32 {
     if request.excluded.contains(&worker) {
         return 0;
     }
-    let kept_free = request.reservation.is_some_and(|reservation| {
+    let reserved = request.reservation.is_some_and(|reservation| {
         reservation.excludes(request.expected_end, request.preemptible)
             && reservation.workers.contains(&worker)
     });
-    if kept_free {
+    if reserved {
         return 0;
     }
     let slots = slot_count(&overlay.free(worker), &request.shape.task);
@@ -163,48 +171,50 @@
     }
 }
 
-/// Single workers that hold the whole gang, those with the least free first.
+/// Iterates over workers that can hold the whole gang, those with the fewest free accelerators
+/// first.
 fn single_workers<'a>(
     overlay: &'a Overlay<'_>,
     request: &'a Request<'_>,
-    index: &'a FreeIndex,
+    index: &'a FreeCapacityIndex,
 ) -> impl Iterator<Item = WorkerIndex> + 'a {
-    let whole = request.shape.task.checked_mul(request.shape.task_count);
-    let workers = whole.map(|whole| index.candidates(&whole));
+    let gang_resources = request.shape.task.checked_mul(request.shape.task_count);
+    let workers = gang_resources.map(|resources| index.candidates(&resources));
     workers
         .into_iter()
         .flatten()
         .filter(|worker| slots_on(overlay, request, *worker) >= request.shape.task_count)
 }
 
-/// A small preference for racks that are fuller, so that equal places leave whole racks free.
+/// Returns a small cost for free accelerators in the chosen racks. Among placements of equal score,
+/// fuller racks are then preferred, which leaves whole racks free.
 fn rack_bias(overlay: &Overlay<'_>, assignments: &[Assignment]) -> f64 {
     let cluster = overlay.cluster();
-    let free = assignments.iter().filter_map(|part| {
-        let rack = cluster.worker(part.worker)?.rack;
+    let free = assignments.iter().filter_map(|assignment| {
+        let rack = cluster.worker(assignment.worker)?.rack;
         Some(cluster.racks[rack as usize].index.free_accelerator_count())
     });
-    RACK_BIAS * free.sum::<u64>() as f64 / assignments.len().max(1) as f64
+    RACK_BIAS_PER_ACCELERATOR * free.sum::<u64>() as f64 / assignments.len().max(1) as f64
 }
 
 fn fill(
     overlay: &Overlay<'_>,
     request: &Request<'_>,
-    index: &FreeIndex,
+    index: &FreeCapacityIndex,
 ) -> Option<Vec<Assignment>> {
-    let mut missing = request.shape.task_count;
-    if index.accelerator_slots(request.shape.task.accelerator_count) < u64::from(missing) {
+    let mut unassigned_count = request.shape.task_count;
+    if index.accelerator_slots(request.shape.task.accelerator_count) < u64::from(unassigned_count) {
         return None;
     }
     let mut assignments = Vec::new();
     for worker in index.candidates(&request.shape.task) {
-        let task_count = slots_on(overlay, request, worker).min(missing);
+        let task_count = slots_on(overlay, request, worker).min(unassigned_count);
         if task_count == 0 {
             continue;
         }
         assignments.push(Assignment { worker, task_count });
-        missing -= task_count;
-        if missing == 0 {
+        unassigned_count -= task_count;
+        if unassigned_count == 0 {
             return Some(assignments);
         }
     }
--- a/crates/yuccatack_placement/tests/pack_guarantees.rs
+++ b/crates/yuccatack_placement/tests/pack_guarantees.rs
@@ -25,15 +25,15 @@
 }
 
 fn available(cluster: &Cluster) -> Vec<Resources> {
-    cluster.workers().map(|(_, cell)| cell.total).collect()
+    cluster.workers().map(|(_, worker)| worker.total).collect()
 }
 
-fn wanted(task_count: u32, accelerators: u32, adjacency: Adjacency) -> GuaranteedShape {
+fn guaranteed_shape(task_count: u32, accelerators: u32, adjacency: Adjacency) -> GuaranteedShape {
     let shape = Shape { task_count, task: resources(accelerators), adjacency };
     GuaranteedShape { shape, data_centres: Vec::new() }
 }
 
-/// Guards against bindings that use capacity twice or leave their domain.
+/// Guards against bindings that use capacity twice or span more than one domain of their adjacency.
 #[test]
 fn random_bindings() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -44,23 +44,28 @@
             .map(|_| {
                 let adjacency = [Adjacency::Worker, Adjacency::Rack, Adjacency::DataCentre];
                 let accelerators = [1, 2, 3, 4, 8][rng.random_range(0..5)];
-                wanted(rng.random_range(1..6), accelerators, adjacency[rng.random_range(0..3)])
+                guaranteed_shape(
+                    rng.random_range(1..6),
+                    accelerators,
+                    adjacency[rng.random_range(0..3)],
+                )
             })
             .collect();
         let Ok(bindings) = pack(&cluster, &mut available(&cluster), &shapes) else { continue };
         packed += 1;
         let mut used = [0; 12];
-        for (binding, wanted) in bindings.iter().zip(&shapes) {
-            let tasks: u32 = binding.iter().map(|part| part.task_count).sum();
-            assert_eq!(tasks, wanted.shape.task_count);
-            let domain = |part: &Assignment| match wanted.shape.adjacency {
-                Adjacency::Worker => part.worker,
-                Adjacency::Rack => cluster.worker(part.worker).unwrap().rack,
-                Adjacency::DataCentre => cluster.worker(part.worker).unwrap().data_centre,
+        for (binding, requested) in bindings.iter().zip(&shapes) {
+            let tasks: u32 = binding.iter().map(|assignment| assignment.task_count).sum();
+            assert_eq!(tasks, requested.shape.task_count);
+            let domain = |assignment: &Assignment| match requested.shape.adjacency {
+                Adjacency::Worker => assignment.worker,
+                Adjacency::Rack => cluster.worker(assignment.worker).unwrap().rack,
+                Adjacency::DataCentre => cluster.worker(assignment.worker).unwrap().data_centre,
             };
-            assert!(binding.iter().all(|part| domain(part) == domain(&binding[0])));
-            for part in binding {
-                used[part.worker as usize] += part.task_count * wanted.shape.task.accelerator_count;
+            assert!(binding.iter().all(|assignment| domain(assignment) == domain(&binding[0])));
+            for assignment in binding {
+                used[assignment.worker as usize] +=
+                    assignment.task_count * requested.shape.task.accelerator_count;
             }
         }
         assert!(used.iter().all(|count| *count <= 8));
@@ -68,17 +73,18 @@
     assert!(packed > 100, "{packed}");
 }
 
-/// Guards against remedies that do not fit or are smaller than necessary.
+/// Guards against suggested requests that do not fit or are smaller than necessary.
 #[test]
-fn nearest_remedy() {
+fn nearest_fitting_request() {
     let cluster = cluster(3);
     let available = available(&cluster);
-    let whole = wanted(1, 8, Adjacency::Worker);
-    let nearest =
-        |wanted: &GuaranteedShape, count| nearest_fit(&cluster, &available, &[], wanted, count);
+    let whole = guaranteed_shape(1, 8, Adjacency::Worker);
+    let nearest = |requested: &GuaranteedShape, count| {
+        nearest_fit(&cluster, &available, &[], requested, count)
+    };
     assert_eq!(nearest(&whole, 5), Some((whole.shape, 3)));
-    let gang = wanted(4, 8, Adjacency::Rack);
+    let gang = guaranteed_shape(4, 8, Adjacency::Rack);
     assert_eq!(nearest(&gang, 1).unwrap().0.task_count, 3);
-    let wide = wanted(1, 12, Adjacency::Worker);
+    let wide = guaranteed_shape(1, 12, Adjacency::Worker);
     assert_eq!(nearest(&wide, 1).unwrap().0.task, resources(8));
 }
--- a/crates/yuccatack_placement/tests/place_gang.rs
+++ b/crates/yuccatack_placement/tests/place_gang.rs
@@ -1,4 +1,4 @@
-//! The choice of workers for a gang.
+//! Selection of workers for a gang.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use yuccatack_core::prelude::*;
@@ -13,7 +13,7 @@
     Shape { task_count, task: resources(accelerators), adjacency }
 }
 
-/// Two data centres with two racks of two workers with 8 accelerators each.
+/// Creates two data centres with two racks each; a rack has two workers with 8 accelerators each.
 fn cluster() -> Cluster {
     let mut cluster = Cluster::default();
     for number in 0..8 {
@@ -28,7 +28,7 @@
 }
 
 fn use_accelerators(cluster: &mut Cluster, worker: WorkerIndex, count: u32) {
-    cluster.update(worker, |cell| cell.used = resources(count));
+    cluster.update(worker, |capacity| capacity.used = resources(count));
 }
 
 fn request<'a>(shape: Shape, profile: &'a DemandProfile) -> Request<'a> {
@@ -45,57 +45,65 @@
     }
 }
 
-fn placed(cluster: &Cluster, request: &Request<'_>) -> Option<Vec<(WorkerIndex, u32)>> {
+fn place_request(cluster: &Cluster, request: &Request<'_>) -> Option<Vec<(WorkerIndex, u32)>> {
     let placement = place(&Overlay::new(cluster), request)?;
-    Some(placement.assignments.iter().map(|part| (part.worker, part.task_count)).collect())
+    Some(
+        placement
+            .assignments
+            .iter()
+            .map(|assignment| (assignment.worker, assignment.task_count))
+            .collect(),
+    )
 }
 
-/// Guards against gangs that spread over more than one domain of their adjacency.
+/// Guards against gangs that span more than one domain of their adjacency.
 #[test]
-fn keeps_adjacency() {
+fn respects_adjacency() {
     let mut cluster = cluster();
     for worker in [0, 2, 4, 6] {
         use_accelerators(&mut cluster, worker, 4);
     }
     let profile = DemandProfile::default();
     // Each rack has 12 free accelerators, each data centre 24.
-    assert!(placed(&cluster, &request(shape(4, 4, Adjacency::Rack), &profile)).is_none());
-    let wide = placed(&cluster, &request(shape(4, 4, Adjacency::DataCentre), &profile)).unwrap();
+    assert!(place_request(&cluster, &request(shape(4, 4, Adjacency::Rack), &profile)).is_none());
+    let wide =
+        place_request(&cluster, &request(shape(4, 4, Adjacency::DataCentre), &profile)).unwrap();
     let centres: Vec<u32> =
         wide.iter().map(|(worker, _)| cluster.worker(*worker).unwrap().data_centre).collect();
     assert!(centres.iter().all(|centre| *centre == centres[0]));
-    assert!(placed(&cluster, &request(shape(3, 4, Adjacency::Worker), &profile)).is_none());
+    assert!(place_request(&cluster, &request(shape(3, 4, Adjacency::Worker), &profile)).is_none());
 }
 
-/// Guards against small jobs that break up the last whole rack that a gang in demand needs.
+/// Guards against small jobs that fragment the last free rack that a demanded gang needs.
 #[test]
-fn protects_gang_room() {
+fn preserves_gang_capacity() {
     let mut cluster = cluster();
     for worker in [0, 2, 4] {
         use_accelerators(&mut cluster, worker, 7);
     }
     let demand = shape(2, 8, Adjacency::Rack);
     let profile = DemandProfile::new(vec![WeightedShape { shape: demand, weight: 1.0 }]);
-    let small = placed(&cluster, &request(shape(1, 2, Adjacency::Worker), &profile)).unwrap();
+    let small =
+        place_request(&cluster, &request(shape(1, 2, Adjacency::Worker), &profile)).unwrap();
     assert_ne!(cluster.worker(small[0].0).unwrap().rack, 3);
 }
 
-/// Guards against firm work on capacity that is set aside for a guarantee.
+/// Guards against non-reclaimable attempts on capacity that is reserved for a guarantee.
 #[test]
-fn firm_stays_off_reserved() {
+fn firm_avoids_reserved() {
     let mut cluster = cluster();
     for worker in 0..7 {
-        cluster.update(worker, |cell| cell.reserved = resources(8));
+        cluster.update(worker, |capacity| capacity.reserved = resources(8));
     }
     let profile = DemandProfile::default();
     let mut firm = request(shape(1, 8, Adjacency::Worker), &profile);
     firm.allocation_kind = AllocationKind::Firm;
-    assert_eq!(placed(&cluster, &firm), Some(vec![(7, 1)]));
+    assert_eq!(place_request(&cluster, &firm), Some(vec![(7, 1)]));
     firm.excluded = &[7];
-    assert_eq!(placed(&cluster, &firm), None);
+    assert_eq!(place_request(&cluster, &firm), None);
 }
 
-/// Guards against backfilled jobs that delay the job with the reservation.
+/// Guards against backfilled jobs that delay the job that holds the reservation.
 #[test]
 fn honours_reservation() {
     let cluster = cluster();
@@ -106,23 +114,23 @@
         reservation: Some(&reservation),
         ..request(shape(1, 1, Adjacency::Worker), &profile)
     };
-    assert!(placed(&cluster, &late).is_none());
+    assert!(place_request(&cluster, &late).is_none());
     let early = Request { expected_end: TimestampMs::new(40), ..late.clone() };
-    assert!(placed(&cluster, &early).is_some());
-    let yielding = Request { preemptible: true, ..late.clone() };
-    assert!(placed(&cluster, &yielding).is_some());
+    assert!(place_request(&cluster, &early).is_some());
+    let preemptible = Request { preemptible: true, ..late.clone() };
+    assert!(place_request(&cluster, &preemptible).is_some());
     reservation.exclusive = true;
-    let barred = Request {
+    let excluded = Request {
         reservation: Some(&reservation),
         preemptible: true,
         ..request(shape(1, 1, Adjacency::Worker), &profile)
     };
-    assert!(placed(&cluster, &barred).is_none());
+    assert!(place_request(&cluster, &excluded).is_none());
 }
 
-/// Guards against two decisions of one round that use the same capacity.
+/// Guards against two decisions of one scheduling round that allocate the same capacity.
 #[test]
-fn overlay_counts() {
+fn overlay_allocations() {
     let cluster = cluster();
     let profile = DemandProfile::default();
     let request = request(shape(1, 8, Adjacency::Worker), &profile);
@@ -136,8 +144,8 @@
     assert_eq!(seen.len(), 8);
 }
 
-/// Guards against accelerators with two users, and against unaligned groups where an aligned one
-/// is free.
+/// Guards against accelerators that are allocated twice, and against unaligned groups while an
+/// aligned one is free.
 #[test]
 fn aligned_accelerators() {
     let mut cluster = cluster();
@@ -149,7 +157,7 @@
     assert_eq!(cluster.allocate_accelerators(0, 2), 0b1100);
 }
 
-/// Guards against a measure that counts room for a whole gang as unusable, or the reverse.
+/// Guards against a measure that counts capacity for a whole gang as unusable, or the reverse.
 #[test]
 fn measures_fragmentation() {
     let mut cluster = cluster();
@@ -162,7 +170,7 @@
     assert!((remainder(&cluster, &profile) - 0.2).abs() < 1e-9);
 }
 
-/// Guards against baselines that ignore the order that defines them.
+/// Guards against baselines that ignore the order of workers that defines them.
 #[test]
 fn baseline_order() {
     let mut cluster = cluster();
