--- a/crates/yuccatack_core/src/time.rs
+++ b/crates/yuccatack_core/src/time.rs
@@ -38,7 +38,7 @@
 }
 
 impl DurationMs {
-    /// Zero-length duration.
+    /// Duration of zero milliseconds.
     pub const ZERO: Self = Self(0);
 
     /// Creates a duration from milliseconds.
--- a/crates/yuccatack_settings/src/validation/mod.rs
+++ b/crates/yuccatack_settings/src/validation/mod.rs
@@ -30,7 +30,7 @@
 }
 
 impl Role {
-    /// All roles.
+    /// All roles, in a fixed order.
     pub const ALL: [Self; 3] = [Self::Control, Self::Entry, Self::Agent];
 
     /// Returns the value of the key `role` in a settings file.
--- a/crates/yuccatack_settings/src/validation/section.rs
+++ b/crates/yuccatack_settings/src/validation/section.rs
@@ -119,7 +119,7 @@
 pub(super) fn check_reachable(addresses: &[AddressSetting], problems: &mut Vec<Problem>) {
     for setting in addresses {
         if setting.address.ip().is_unspecified() || setting.address.ip().is_multicast() {
-            let found = format!("found `{}`, which nobody can connect to", setting.address);
+            let found = format!("found `{}`, which does not identify a host", setting.address);
             problems.push(Problem::new(
                 &setting.path,
                 found,
