--- a/crates/yuccatack_dispatch/src/capacity.rs
+++ b/crates/yuccatack_dispatch/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What is free on each worker.
+//! Free capacity of each worker.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,79 +8,81 @@
 
 use crate::session::{OrderState, Session};
 
-/// A worker as placement sees it.
+/// State of a worker during one round of placement.
 #[derive(Clone, Debug)]
-pub(crate) struct Slot {
+pub(crate) struct WorkerSnapshot {
     pub node: NodeName,
     pub incarnation: WorkerIncarnation,
     pub service: ServiceName,
     pub rack: Option<Arc<str>>,
     pub labels: Vec<Arc<str>>,
-    /// What nothing uses.
+    /// Capacity that no open run occupies.
     pub free: Resources,
-    /// What nothing uses once everything that is being stopped has ended.
-    pub free_soon: Resources,
+    /// Capacity that is free once all runs that are being stopped have ended.
+    pub free_after_stops: Resources,
     pub total: Resources,
-    /// Whether it may get the last attempt of a task.
-    pub trusted: bool,
-    /// Kept free for a unit that is more urgent than those placed later.
+    /// Set if no run failed here recently, so that the worker may get a task's last attempt.
+    pub reliable: bool,
+    /// Reserved for a group that is more urgent than those placed later in the round.
     pub reserved: bool,
-    /// Kept free for urgent units that may come.
-    pub kept: bool,
-    /// The runs that occupy it.
+    /// Headroom for urgent groups that may arrive soon.
+    pub held_for_urgent: bool,
+    /// Open runs on the worker, including those that are being stopped.
     pub runs: Vec<RunId>,
 }
 
-/// What one task of a step takes from a worker.
+/// Returns the resources that one task of a step occupies on a worker. Tasks that only use idle CPU
+/// time occupy no cores.
 pub(crate) fn footprint(step: &StepSpec) -> Resources {
     let cores_milli = if step.uses_idle_cpu { 0 } else { step.demand.cores_milli };
     Resources { cores_milli, ..step.demand }
 }
 
-/// The workers that may get new runs.
-pub(crate) fn slots(
+/// Returns the workers that may get new runs, with the capacity that open runs leave free.
+pub(crate) fn available_workers(
     sessions: &BTreeMap<NodeName, Session>,
     table: &JobTable,
     now: TimestampMs,
-) -> Vec<Slot> {
-    let mut slots: Vec<Slot> = sessions
+) -> Vec<WorkerSnapshot> {
+    let mut workers: Vec<WorkerSnapshot> = sessions
         .iter()
         .filter(|(_, session)| session.is_available(now))
         .filter_map(|(node, session)| {
             let state = session.state.as_ref()?;
-            Some(Slot {
+            Some(WorkerSnapshot {
                 node: node.clone(),
                 incarnation: state.incarnation.clone(),
                 service: state.service.clone(),
                 rack: state.rack.clone(),
                 labels: state.labels.clone(),
                 free: state.capacity,
-                free_soon: state.capacity,
+                free_after_stops: state.capacity,
                 total: state.capacity,
-                trusted: session.health.is_trusted(now),
+                reliable: session.health.is_reliable(now),
                 reserved: false,
-                kept: false,
+                held_for_urgent: false,
                 runs: Vec::new(),
             })
         })
         .collect();
     for (run, open) in table.open_runs() {
-        let Some(slot) = slots.iter_mut().find(|slot| slot.incarnation == open.incarnation) else {
+        let Some(worker) = workers.iter_mut().find(|worker| worker.incarnation == open.incarnation)
+        else {
             continue;
         };
         let step = table.job(&run.task.job).and_then(|job| job.step_spec(run.task.step));
         let used = step.map_or(open.demand, footprint);
-        slot.free = subtract(slot.free, used);
-        let order = sessions.get(&slot.node).and_then(|session| session.orders.get(run));
+        worker.free = subtract(worker.free, used);
+        let order = sessions.get(&worker.node).and_then(|session| session.orders.get(run));
         if !matches!(order, Some(OrderState::Stopping { .. })) {
-            slot.free_soon = subtract(slot.free_soon, used);
+            worker.free_after_stops = subtract(worker.free_after_stops, used);
         }
-        slot.runs.push(run.clone());
+        worker.runs.push(run.clone());
     }
-    slots
+    workers
 }
 
-/// What is left; nothing where more is used than there is.
+/// Subtracts each resource, saturating at zero.
 pub(crate) fn subtract(from: Resources, used: Resources) -> Resources {
     Resources {
         cores_milli: from.cores_milli.saturating_sub(used.cores_milli),
@@ -89,11 +91,11 @@
     }
 }
 
-/// The sum, at most the largest numbers.
-pub(crate) fn add(to: Resources, more: Resources) -> Resources {
+/// Adds each resource, saturating at the maximum.
+pub(crate) fn add(base: Resources, extra: Resources) -> Resources {
     Resources {
-        cores_milli: to.cores_milli.saturating_add(more.cores_milli),
-        memory_bytes: to.memory_bytes.saturating_add(more.memory_bytes),
-        accelerator_count: to.accelerator_count.saturating_add(more.accelerator_count),
+        cores_milli: base.cores_milli.saturating_add(extra.cores_milli),
+        memory_bytes: base.memory_bytes.saturating_add(extra.memory_bytes),
+        accelerator_count: base.accelerator_count.saturating_add(extra.accelerator_count),
     }
 }
--- a/crates/yuccatack_dispatch/src/dispatcher.rs
+++ b/crates/yuccatack_dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The leader's memory of its workers, and its decisions.
+//! The leader's state of its workers, and its scheduling decisions.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,35 @@
 use yuccatack_queues::ConfigurationStore;
 use yuccatack_runs::{JobTable, RunEnd, RunId, RunOutcome, RunStart, WorkerIncarnation};
 
-use crate::capacity::slots;
-use crate::demand::{ready_units, urgent_accelerators};
-use crate::eviction::{may_evict_others, reserve_soon};
+use crate::capacity::available_workers;
+use crate::demand::{ready_task_groups, urgent_accelerator_demand};
+use crate::eviction::{may_evict, reserve_after_stops};
 use crate::headroom::Headroom;
-use crate::lease::longest_real_time;
-use crate::placement::{Room, occupy, place};
+use crate::lease::max_real_duration;
+use crate::placement::{CapacityKind, occupy, place};
 use crate::protocol::{AgentMessage, Orders, StartResult, WorkerState};
 use crate::reconcile::Reconciliation;
 use crate::session::{OrderState, Session};
 use crate::settings::DispatchSettings;
 
-/// For how many tasks one decision looks for runs to evict, beyond the first unit. A search looks at
-/// every run for every task, so that a burst of urgent jobs would keep the leader from its
-/// heartbeats.
-const EVICTION_SEARCH_LIMIT: usize = 32;
+/// Number of tasks for which one decision searches for runs to evict. A group is searched as a
+/// whole, so the last one may exceed the limit. A search visits every run for every task, so a
+/// burst of urgent jobs would otherwise delay the leader's heartbeats.
+const EVICTION_SEARCH_TASK_COUNT: usize = 32;
 
-/// A change of the replicated table that the leader proposes.
+/// Change of the replicated table that the leader proposes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TableChange {
-    /// Begin these runs, or none of them.
+    /// Begins all of these runs, or none of them if one may not begin.
     Begin(Vec<RunStart>),
-    /// A run is over.
+    /// Ends a run.
     End(RunEnd),
-    /// The ends of a worker's incarnation up to this number are in the table.
+    /// Acknowledges the run ends of an incarnation up to this number; the table holds them all.
     #[serde(rename = "NoteEnds")]
     AcknowledgeEnds(WorkerIncarnation, u64),
 }
 
-/// Decides for all workers while its process leads.
+/// Makes the scheduling decisions for all workers while its replica is the leader.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: DispatchSettings,
@@ -44,13 +44,13 @@
     pub(crate) sessions: BTreeMap<NodeName, Session>,
     pub(crate) evicted: FastHashSet<RunId>,
     headroom: Headroom,
-    /// How many evictions were decided since they were last counted.
+    /// Number of evictions since the last call of [`Self::take_eviction_count`].
     pub(crate) eviction_count: u64,
 }
 
 impl Dispatcher {
-    /// Starts with no knowledge of any worker. `token` must be higher than that of every earlier
-    /// leader.
+    /// Creates a dispatcher without any workers. `token` must be higher than that of every earlier
+    /// leader, so that it fences their orders.
     pub fn new(settings: DispatchSettings, token: u64, now: TimestampMs) -> Self {
         Self {
             settings,
@@ -63,45 +63,45 @@
         }
     }
 
-    /// The token that fences the orders of earlier leaders.
+    /// Returns the token that fences the orders of earlier leaders.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// An agent has opened its stream.
+    /// Marks the agent of `node` as connected.
     pub fn connect(&mut self, node: &NodeName) {
         self.sessions.entry(node.clone()).or_default().reconnect();
     }
 
-    /// An agent's stream has ended.
+    /// Marks the agent of `node` as disconnected; it gets no orders until it reconnects.
     pub fn disconnect(&mut self, node: &NodeName) {
         if let Some(session) = self.sessions.get_mut(node) {
             session.connected = false;
         }
     }
 
-    /// How many agents are connected.
+    /// Returns the number of connected agents.
     pub fn connected_count(&self) -> usize {
         self.sessions.values().filter(|session| session.connected).count()
     }
 
-    /// How many evictions were decided since the last call.
+    /// Returns the number of evictions since the last call, and resets it.
     pub fn take_eviction_count(&mut self) -> u64 {
         std::mem::take(&mut self.eviction_count)
     }
 
-    /// The lead was confirmed by a round that began at `began_at`; leases may build on everything
-    /// that was received before. A later leader was elected after that moment, so it can bound
-    /// every lease that this one granted.
+    /// Records that a heartbeat round which began at `began_at` confirmed leadership. Leases may
+    /// build on all clock readings received before. Any later leader was elected after `began_at`,
+    /// so it can bound every lease that this one granted.
     pub fn confirm_leadership(&mut self, began_at: TimestampMs) {
         for session in self.sessions.values_mut() {
-            if session.reading.is_some_and(|reading| reading.received_at <= began_at) {
-                session.base = session.reading;
+            if session.latest_reading.is_some_and(|reading| reading.received_at <= began_at) {
+                session.confirmed_reading = session.latest_reading;
             }
         }
     }
 
-    /// Takes what an agent reports and returns what follows for the table.
+    /// Handles a message from an agent and returns the resulting changes of the table.
     pub fn on_message(
         &mut self,
         node: &NodeName,
@@ -121,14 +121,14 @@
             AgentMessage::Left(incarnation) => {
                 log::info!(
                     event = "worker_left", node = node.as_str(), life:% = incarnation;
-                    "the worker has left"
+                    "the worker has left; its open runs are lost"
                 );
                 if let Some(session) = self.sessions.get_mut(node)
                     && session.incarnation() == Some(&incarnation)
                 {
                     session.state = None;
                 }
-                lost_runs(table, |held| *held == incarnation)
+                lost_run_ends(table, |other| *other == incarnation)
             }
         }
     }
@@ -148,10 +148,10 @@
         log::info!(
             event = "worker_life_began", node = node.as_str(), life:% = incarnation,
             draining = state.draining;
-            "a worker announced itself"
+            "a new incarnation of the worker announced itself; runs of earlier ones are lost"
         );
-        session.begin_life(state);
-        lost_runs(table, |held| held.node == incarnation.node && *held != incarnation)
+        session.begin_incarnation(state);
+        lost_run_ends(table, |other| other.node == incarnation.node && *other != incarnation)
     }
 
     fn on_start_result(&mut self, node: &NodeName, run: RunId, result: StartResult) {
@@ -164,18 +164,18 @@
             log::warn!(
                 event = "start_refused", run:% = run, node = node.as_str(),
                 result:? = result;
-                "the worker did not begin the run"
+                "start not confirmed; the run is barred, or observed if the result is unknown"
             );
         }
         *order = match result {
             StartResult::Begun => OrderState::Active { missing_count: 0 },
             StartResult::Unknown => OrderState::Unknown { missing_count: 0 },
-            // An earlier send of the same start may still be under way, so the run is barred.
+            // An earlier copy of the same start may still be in flight, so the run is barred.
             StartResult::NoRoom | StartResult::Refused => OrderState::Stopping { sent_at: None },
         };
     }
 
-    /// Decides which runs begin, which give way and which are lost.
+    /// Decides which runs begin, are evicted or are lost, and returns the changes of the table.
     pub fn decide(
         &mut self,
         table: &JobTable,
@@ -185,63 +185,64 @@
     ) -> Vec<TableChange> {
         self.evicted.retain(|run| table.open_runs().contains_key(run));
         let mut changes = self.expired_runs(table, now);
-        self.headroom.note(table, now);
-        let needs = urgent_accelerators(table);
-        let units = ready_units(table, configuration, &needs, unix_ms);
-        if units.is_empty() {
+        self.headroom.update(table, now);
+        let urgent_demand = urgent_accelerator_demand(table);
+        let groups = ready_task_groups(table, configuration, &urgent_demand, unix_ms);
+        if groups.is_empty() {
             return changes;
         }
-        let mut slots = slots(&self.sessions, table, now);
-        let mut searches_left = EVICTION_SEARCH_LIMIT;
-        // Equal tasks of a step fit as little as the first one that did not.
-        let mut blocked = FastHashSet::default();
-        let mut headroom_kept = false;
-        for unit in &units {
-            if !unit.is_urgent() && !headroom_kept {
-                headroom_kept = true;
-                self.headroom.keep(&mut slots);
+        let mut workers = available_workers(&self.sessions, table, now);
+        let mut remaining_search_tasks = EVICTION_SEARCH_TASK_COUNT;
+        // All tasks of a step are equal: once one does not fit, the others do not either.
+        let mut blocked_steps = FastHashSet::default();
+        let mut headroom_reserved = false;
+        for group in &groups {
+            if !group.is_urgent() && !headroom_reserved {
+                headroom_reserved = true;
+                self.headroom.reserve(&mut workers);
             }
-            let step = (unit.job.order, unit.occurrence, unit.step);
-            if blocked.contains(&step) {
+            let step = (group.job.order, group.occurrence, group.step);
+            if blocked_steps.contains(&step) {
                 continue;
             }
-            if let Some(placement) = place(unit, &slots, Room::Now, false) {
-                changes.push(TableChange::Begin(occupy(unit, &placement, &mut slots)));
+            if let Some(placement) = place(group, &workers, CapacityKind::Free, false) {
+                changes.push(TableChange::Begin(occupy(group, &placement, &mut workers)));
                 continue;
             }
-            if reserve_soon(unit, &mut slots) {
+            if reserve_after_stops(group, &mut workers) {
                 continue;
             }
-            if may_evict_others(unit) && searches_left > 0 {
-                searches_left = searches_left.saturating_sub(unit.tasks.len());
-                if self.evict_for(unit, &mut slots, table, configuration, &needs) {
+            if may_evict(group) && remaining_search_tasks > 0 {
+                remaining_search_tasks = remaining_search_tasks.saturating_sub(group.tasks.len());
+                if self.evict_for(group, &mut workers, table, configuration, &urgent_demand) {
                     continue;
                 }
             }
-            blocked.insert(step);
+            blocked_steps.insert(step);
         }
         changes
     }
 
-    /// Runs whose lease must have expired, or whose worker began another incarnation.
+    /// Returns the ends of runs whose lease must have expired or whose worker restarted.
     fn expired_runs(&self, table: &JobTable, now: TimestampMs) -> Vec<TableChange> {
-        let earlier_leases_end = self.leading_since + longest_real_time(self.settings.lease_ms);
-        lost_runs(table, |incarnation| {
+        let earlier_leases_expire_at =
+            self.leading_since + max_real_duration(self.settings.lease_ms);
+        lost_run_ends(table, |incarnation| {
             let Some(session) = self.sessions.get(&incarnation.node) else {
-                return now > earlier_leases_end;
+                return now > earlier_leases_expire_at;
             };
-            match (session.incarnation(), session.reading) {
+            match (session.incarnation(), session.latest_reading) {
                 (Some(current), _) if current != incarnation => true,
                 (Some(_), Some(reading)) => {
-                    let own_leases_end = reading.latest_expiry(session.lease_until_clock_ms);
-                    now > own_leases_end.max(earlier_leases_end)
+                    let own_leases_expire_at = reading.latest_expiry(session.lease_until_clock_ms);
+                    now > own_leases_expire_at.max(earlier_leases_expire_at)
                 }
-                _ => now > earlier_leases_end,
+                _ => now > earlier_leases_expire_at,
             }
         })
     }
 
-    /// The orders that are due now.
+    /// Returns the orders that are due at `now`, by node.
     pub fn orders(&mut self, table: &JobTable, now: TimestampMs) -> Vec<(NodeName, Orders)> {
         let reconciliation = Reconciliation {
             settings: &self.settings,
@@ -254,11 +255,11 @@
     }
 }
 
-fn lost_runs<Lost>(table: &JobTable, lost: Lost) -> Vec<TableChange>
+fn lost_run_ends<Predicate>(table: &JobTable, is_lost: Predicate) -> Vec<TableChange>
 where
-    Lost: Fn(&WorkerIncarnation) -> bool,
+    Predicate: Fn(&WorkerIncarnation) -> bool,
 {
-    let runs = table.open_runs().iter().filter(|(_, open)| lost(&open.incarnation));
+    let runs = table.open_runs().iter().filter(|(_, open)| is_lost(&open.incarnation));
     let end = |run: &RunId| RunEnd {
         run: run.clone(),
         outcome: RunOutcome::WorkerLost,
--- a/crates/yuccatack_dispatch/src/eviction.rs
+++ b/crates/yuccatack_dispatch/src/eviction.rs
@@ -1,58 +1,65 @@
-//! How a more urgent unit gets room: by runs that end anyway, or by runs that give way.
+//! Capacity for urgent task groups: reserved on workers whose runs are already stopping, or freed
+//! by evicting less urgent runs.
 
 use yuccatack_core::{FastHashMap, FastHashSet, OrganisationName};
 use yuccatack_queues::ConfigurationStore;
 use yuccatack_runs::{JobTable, RunId};
 
-use crate::capacity::{Slot, add, footprint, subtract};
-use crate::demand::{Tier, Unit};
+use crate::capacity::{WorkerSnapshot, add, footprint, subtract};
+use crate::demand::{TaskGroup, Tier};
 use crate::dispatcher::Dispatcher;
-use crate::loss::Progress;
-use crate::placement::{Room, place};
+use crate::loss::RunProgress;
+use crate::placement::{CapacityKind, place};
 use crate::reclaim::Reclaim;
 use crate::session::OrderState;
 
 impl Dispatcher {
-    /// Evicts less urgent runs for a unit that does not fit, and keeps their room for it. Returns
-    /// whether there is such room.
+    /// Evicts less urgent runs for a group that does not fit, and reserves their capacity for it.
+    /// Returns `false` if no eviction makes the group fit.
     pub(crate) fn evict_for(
         &mut self,
-        unit: &Unit<'_>,
-        slots: &mut [Slot],
+        group: &TaskGroup<'_>,
+        workers: &mut [WorkerSnapshot],
         table: &JobTable,
         configuration: &ConfigurationStore,
-        needs: &FastHashMap<OrganisationName, u64>,
+        urgent_demand: &FastHashMap<OrganisationName, u64>,
     ) -> bool {
         let stopping = self.stopping_runs();
         let progress = self.progress();
-        let reclaim =
-            Reclaim { table, configuration, needs, stopping: &stopping, progress: &progress };
-        let Some(eviction) = reclaim.find(unit, slots) else { return false };
+        let reclaim = Reclaim {
+            table,
+            configuration,
+            urgent_demand,
+            stopping: &stopping,
+            progress: &progress,
+        };
+        let Some(eviction) = reclaim.find(group, workers) else { return false };
         for victim in eviction.victims {
             log::info!(
                 event = "run_evicted", run:% = victim,
-                for_job = unit.job.submission.name.as_str();
-                "the run gives way to a more urgent job"
+                for_job = group.job.submission.name.as_str();
+                "evicting the run to free its capacity for a more urgent job"
             );
             self.eviction_count += 1;
             self.evicted.insert(victim);
         }
-        let need = footprint(unit.spec);
-        for (at, freed) in eviction.placement.into_iter().zip(eviction.freed) {
-            slots[at].reserved = true;
-            slots[at].free_soon = subtract(add(slots[at].free_soon, freed), need);
+        let need = footprint(group.spec);
+        for (index, freed) in eviction.placement.into_iter().zip(eviction.freed) {
+            workers[index].reserved = true;
+            workers[index].free_after_stops =
+                subtract(add(workers[index].free_after_stops, freed), need);
         }
         true
     }
 
-    fn progress(&self) -> Progress {
-        let of_sessions = self.sessions.values().flat_map(|session| session.health.progress());
-        of_sessions.map(|(run, percent)| (run.clone(), percent)).collect()
+    fn progress(&self) -> RunProgress {
+        let per_session = self.sessions.values().flat_map(|session| session.health.progress());
+        per_session.map(|(run, percent)| (run.clone(), percent)).collect()
     }
 
     fn stopping_runs(&self) -> FastHashSet<RunId> {
-        let of_sessions = self.sessions.values().flat_map(|session| &session.orders);
-        of_sessions
+        let per_session = self.sessions.values().flat_map(|session| &session.orders);
+        per_session
             .filter(|(_, order)| matches!(order, OrderState::Stopping { .. }))
             .map(|(run, _)| run.clone())
             .chain(self.evicted.iter().cloned())
@@ -60,17 +67,20 @@
     }
 }
 
-/// Keeps the room that is about to be free for a unit that fits there.
-pub(crate) fn reserve_soon(unit: &Unit<'_>, slots: &mut [Slot]) -> bool {
-    let Some(placement) = place(unit, slots, Room::Soon, true) else { return false };
-    let need = footprint(unit.spec);
-    for at in placement {
-        slots[at].reserved = true;
-        slots[at].free_soon = subtract(slots[at].free_soon, need);
+/// Reserves capacity for the group on workers where it fits once the runs being stopped have ended.
+/// Returns `false` if it does not fit there either.
+pub(crate) fn reserve_after_stops(group: &TaskGroup<'_>, workers: &mut [WorkerSnapshot]) -> bool {
+    let Some(placement) = place(group, workers, CapacityKind::FreeAfterStops, true) else {
+        return false;
+    };
+    let need = footprint(group.spec);
+    for index in placement {
+        workers[index].reserved = true;
+        workers[index].free_after_stops = subtract(workers[index].free_after_stops, need);
     }
     true
 }
 
-pub(crate) fn may_evict_others(unit: &Unit<'_>) -> bool {
-    matches!(unit.urgency.tier, Tier::Guaranteed | Tier::Priority(0))
+pub(crate) fn may_evict(group: &TaskGroup<'_>) -> bool {
+    matches!(group.urgency.tier, Tier::Guaranteed | Tier::Priority(0))
 }
--- a/crates/yuccatack_dispatch/src/health.rs
+++ b/crates/yuccatack_dispatch/src/health.rs
@@ -1,114 +1,121 @@
-//! Which workers fail, hang or slow down what they run.
+//! Health of a worker, judged by the failures and the progress of its runs.
 
 use yuccatack_core::{DurationMs, FastHashMap, TimestampMs};
 use yuccatack_runs::{RunId, RunOutcome};
 
 use crate::protocol::RunningRun;
 
-/// Failures in a row, without a task done in between, after which a worker is set aside. One failure
-/// is as likely the fault of the task.
-const FAILURE_LIMIT: u32 = 2;
+/// Number of consecutive failures, without a completed task in between, after which a worker is
+/// quarantined. A single failure is as likely to be caused by the task.
+const QUARANTINE_FAILURE_COUNT: u32 = 2;
 
-/// How long a worker is set aside the first time; doubled each further time in a row.
-const FIRST_REST: DurationMs = DurationMs::new(4_000);
+/// Length of the first quarantine of a worker; doubled for each consecutive one.
+const INITIAL_QUARANTINE_MS: DurationMs = DurationMs::new(4_000);
 
-/// The longest time that a worker is set aside.
-const LONGEST_REST: DurationMs = DurationMs::new(16_000);
+/// Upper bound on the length of a quarantine.
+const MAX_QUARANTINE_MS: DurationMs = DurationMs::new(16_000);
 
-/// A worker gets last attempts again this long after a failure. Jobs that fail everywhere would
-/// otherwise take the trust of all workers, and with it the room for every last attempt.
-const TRUST_REGAIN: DurationMs = DurationMs::new(4_000);
+/// Time after a failure until a worker gets last attempts again. Without this limit, jobs that fail
+/// everywhere would leave no worker for the last attempt of any task.
+const RELIABILITY_RECOVERY_MS: DurationMs = DurationMs::new(4_000);
 
-/// A run whose progress stands still for this long is stuck. Tasks of the deployments last up to
-/// eleven seconds, so that a sound one shows progress several times in that time.
-const STALL_LIMIT: DurationMs = DurationMs::new(3_000);
+/// Time without progress after which a run counts as stalled. Tasks of the deployments take up to
+/// 11 s, so a healthy one reports progress several times within this time.
+const STALL_TIMEOUT_MS: DurationMs = DurationMs::new(3_000);
 
-/// How many looks must show the same progress. A leader that was paused would otherwise take its own
-/// pause for the run's.
-const STALL_LOOK_COUNT: u32 = 6;
+/// Number of observations that must show the same progress. A leader that was paused itself would
+/// otherwise take its own pause for a stall of the run.
+const STALL_SAMPLE_COUNT: u32 = 6;
 
-/// The progress of a run and since when it is the same.
+/// Consecutive observations of a run at the same progress.
 #[derive(Debug)]
-struct Seen {
+struct ProgressSamples {
     percent: u8,
     since_clock_ms: u64,
-    look_count: u32,
+    sample_count: u32,
 }
 
-/// What a worker's runs have shown.
+/// Failures and progress of a worker's runs.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    failures_in_a_row: u32,
-    rests_in_a_row: u32,
-    resting_until: Option<TimestampMs>,
-    /// The last failure since the last task that was done.
+    consecutive_failures: u32,
+    consecutive_quarantines: u32,
+    quarantined_until: Option<TimestampMs>,
+    /// Time of the last failure; `None` if a task has completed since.
     failed_at: Option<TimestampMs>,
-    progress: FastHashMap<RunId, Seen>,
+    progress: FastHashMap<RunId, ProgressSamples>,
 }
 
 impl Health {
-    /// Whether the worker may get new work.
+    /// Returns `true` unless the worker is quarantined.
     pub fn is_usable(&self, now: TimestampMs) -> bool {
-        self.resting_until.is_none_or(|until| now >= until)
+        self.quarantined_until.is_none_or(|until| now >= until)
     }
 
-    /// Whether nothing failed lately, so that the worker may get a task's last attempt.
-    pub fn is_trusted(&self, now: TimestampMs) -> bool {
-        self.failed_at.is_none_or(|failed_at| now.since(failed_at) >= TRUST_REGAIN)
+    /// Returns `true` if no run failed recently, so that the worker may get a task's last attempt.
+    pub fn is_reliable(&self, now: TimestampMs) -> bool {
+        self.failed_at.is_none_or(|failed_at| now.since(failed_at) >= RELIABILITY_RECOVERY_MS)
     }
 
-    /// How far a run is, in percent.
+    /// Returns the progress of a run, in percent.
     pub fn percent(&self, run: &RunId) -> Option<u8> {
-        self.progress.get(run).map(|seen| seen.percent)
+        self.progress.get(run).map(|samples| samples.percent)
     }
 
-    /// How far each run is, in percent.
+    /// Returns the progress of each run, in percent.
     pub fn progress(&self) -> impl Iterator<Item = (&RunId, u8)> {
-        self.progress.iter().map(|(run, seen)| (run, seen.percent))
+        self.progress.iter().map(|(run, samples)| (run, samples.percent))
     }
 
     pub fn on_end(&mut self, run: &RunId, outcome: RunOutcome, now: TimestampMs) {
         self.progress.remove(run);
         match outcome {
             RunOutcome::Done => {
-                self.failures_in_a_row = 0;
-                self.rests_in_a_row = 0;
-                self.resting_until = None;
+                self.consecutive_failures = 0;
+                self.consecutive_quarantines = 0;
+                self.quarantined_until = None;
                 self.failed_at = None;
             }
             RunOutcome::Failed => {
-                self.failures_in_a_row += 1;
+                self.consecutive_failures += 1;
                 self.failed_at = Some(now);
-                if self.failures_in_a_row >= FAILURE_LIMIT {
-                    self.rest(now);
+                if self.consecutive_failures >= QUARANTINE_FAILURE_COUNT {
+                    self.quarantine(now);
                 }
             }
             _ => {}
         }
     }
 
-    /// Sets the worker aside for a while.
-    pub fn rest(&mut self, now: TimestampMs) {
+    /// Quarantines the worker, unless it already is.
+    pub fn quarantine(&mut self, now: TimestampMs) {
         if !self.is_usable(now) {
             return;
         }
-        let doubled_ms = FIRST_REST.get() << self.rests_in_a_row.min(8);
-        self.resting_until = Some(now + DurationMs::new(doubled_ms.min(LONGEST_REST.get())));
-        self.rests_in_a_row += 1;
+        let doubled_ms = INITIAL_QUARANTINE_MS.get() << self.consecutive_quarantines.min(8);
+        self.quarantined_until =
+            Some(now + DurationMs::new(doubled_ms.min(MAX_QUARANTINE_MS.get())));
+        self.consecutive_quarantines += 1;
     }
 
-    /// Notes how far the runs are, and returns those that stand still.
+    /// Records the progress of the running runs and returns those that have stalled.
     pub fn on_running(&mut self, running: &[RunningRun], clock_ms: u64) -> Vec<RunId> {
         let mut stalled = Vec::new();
         for row in running {
-            let fresh = Seen { percent: row.percent, since_clock_ms: clock_ms, look_count: 0 };
-            let seen = self.progress.entry(row.run.clone()).or_insert(fresh);
-            if seen.percent != row.percent {
-                *seen = Seen { percent: row.percent, since_clock_ms: clock_ms, look_count: 0 };
+            let initial =
+                ProgressSamples { percent: row.percent, since_clock_ms: clock_ms, sample_count: 0 };
+            let samples = self.progress.entry(row.run.clone()).or_insert(initial);
+            if samples.percent != row.percent {
+                *samples = ProgressSamples {
+                    percent: row.percent,
+                    since_clock_ms: clock_ms,
+                    sample_count: 0,
+                };
             }
-            seen.look_count += 1;
-            let still_ms = clock_ms.saturating_sub(seen.since_clock_ms);
-            if still_ms >= STALL_LIMIT.get() && seen.look_count >= STALL_LOOK_COUNT {
+            samples.sample_count += 1;
+            let unchanged_ms = clock_ms.saturating_sub(samples.since_clock_ms);
+            if unchanged_ms >= STALL_TIMEOUT_MS.get() && samples.sample_count >= STALL_SAMPLE_COUNT
+            {
                 stalled.push(row.run.clone());
             }
         }
--- a/crates/yuccatack_dispatch/src/lib.rs
+++ b/crates/yuccatack_dispatch/src/lib.rs
@@ -1,7 +1,8 @@
-//! The decisions of the control leader: which runs begin where, under which leases, and which stop.
+//! Scheduling decisions of the control leader: placement of runs, their leases, and evictions.
 //!
-//! [`Dispatcher`] is the leader's memory of its workers. It is not replicated: a new leader starts
-//! with none and learns from the agents. Everything takes the current time as an argument.
+//! [`Dispatcher`] holds the leader's state of its workers. The state is not replicated: a new
+//! leader starts without it and rebuilds it from the reports of the agents. All functions take the
+//! current time as an argument.
 
 mod capacity;
 mod demand;
--- a/crates/yuccatack_dispatch/src/observation.rs
+++ b/crates/yuccatack_dispatch/src/observation.rs
@@ -1,4 +1,4 @@
-//! What the leader learns from a look at a worker: ends, runs that began or are missing, stalls.
+//! Handling of observations of a worker: ended, started, missing and stalled runs.
 
 use yuccatack_core::{NodeName, TimestampMs};
 use yuccatack_runs::{JobTable, RunEnd, RunId, RunOutcome};
@@ -8,9 +8,10 @@
 use crate::protocol::Observation;
 use crate::session::{OrderState, Session};
 
-/// In how many observations in a row a run must be missing. One may have been made before the run
-/// began, and the answers of worker and agent may overtake each other.
-const MISSING_LIMIT: u8 = 2;
+/// Number of consecutive observations in which a run must be missing before it is stopped. A single
+/// one may predate the start of the run, since responses of worker and agent can overtake each
+/// other.
+const MISSING_OBSERVATION_COUNT: u8 = 2;
 
 impl Dispatcher {
     pub(crate) fn on_observation(
@@ -24,13 +25,14 @@
         if session.incarnation() != Some(&observation.incarnation) {
             return Vec::new();
         }
-        if session.reading.is_some_and(|reading| reading.clock_ms > observation.clock_ms) {
-            // The answers of two calls overtook each other.
+        if session.latest_reading.is_some_and(|reading| reading.clock_ms > observation.clock_ms) {
+            // The responses of two polls arrived out of order.
             return Vec::new();
         }
-        session.reading = Some(ClockReading { clock_ms: observation.clock_ms, received_at: now });
-        let mut changes = note_ends(session, &observation, table, now);
-        changes.extend(follow_runs(session, &observation, table));
+        session.latest_reading =
+            Some(ClockReading { clock_ms: observation.clock_ms, received_at: now });
+        let mut changes = record_ends(session, &observation, table, now);
+        changes.extend(update_order_states(session, &observation, table));
         let stalled = session.health.on_running(&observation.running, observation.clock_ms);
         for run in stalled {
             self.on_stalled_run(node, run, table, now);
@@ -41,23 +43,24 @@
     fn on_stalled_run(&mut self, node: &NodeName, run: RunId, table: &JobTable, now: TimestampMs) {
         let spec = table.job(&run.task.job).and_then(|job| job.step_spec(run.task.step));
         let Some(spec) = spec.filter(|spec| !spec.long_running) else { return };
-        if self.evicted.contains(&run) || (spec.gang && self.waits_for_members(&run, table)) {
+        if self.evicted.contains(&run) || (spec.gang && self.waits_for_slower_member(&run, table)) {
             return;
         }
         log::warn!(
             event = "run_stalled", run:% = run, node = node.as_str();
-            "the run makes no progress; it is stopped and the worker set aside"
+            "the run makes no progress; stopping it and quarantining its worker"
         );
         self.eviction_count += 1;
         self.evicted.insert(run);
         if let Some(session) = self.sessions.get_mut(node) {
-            session.health.rest(now);
+            session.health.quarantine(now);
         }
     }
 
-    /// Whether another member of the gang has come less far. The members end together, so that one
-    /// on a fast worker stands still at the end of its work until the slowest one arrives there.
-    fn waits_for_members(&self, run: &RunId, table: &JobTable) -> bool {
+    /// Returns `true` if another member of the gang has made less progress. The members end
+    /// together, so one on a fast worker shows no progress until the slowest member reaches the
+    /// same point.
+    fn waits_for_slower_member(&self, run: &RunId, table: &JobTable) -> bool {
         let percent = |member: &RunId| {
             let node = &table.open_runs().get(member)?.incarnation.node;
             self.sessions.get(node)?.health.percent(member)
@@ -69,18 +72,18 @@
     }
 }
 
-/// Proposes the ends that the table does not have yet.
-fn note_ends(
+/// Returns the changes that add the ends of runs that the table does not hold yet.
+fn record_ends(
     session: &mut Session,
     observation: &Observation,
     table: &JobTable,
     now: TimestampMs,
 ) -> Vec<TableChange> {
     let mut changes = Vec::new();
-    let known = session.proposed_end.max(table.acknowledged_end(&observation.incarnation));
-    let mut last = known;
-    for ended in observation.ended.iter().filter(|ended| ended.number > known) {
-        last = last.max(ended.number);
+    let recorded_end = session.proposed_end.max(table.acknowledged_end(&observation.incarnation));
+    let mut last_end = recorded_end;
+    for ended in observation.ended.iter().filter(|ended| ended.number > recorded_end) {
+        last_end = last_end.max(ended.number);
         session.health.on_end(&ended.run, ended.outcome, now);
         if table.open_runs().contains_key(&ended.run) {
             changes.push(TableChange::End(RunEnd {
@@ -90,15 +93,16 @@
             }));
         }
     }
-    if last > known {
-        session.proposed_end = last;
-        changes.push(TableChange::AcknowledgeEnds(observation.incarnation.clone(), last));
+    if last_end > recorded_end {
+        session.proposed_end = last_end;
+        changes.push(TableChange::AcknowledgeEnds(observation.incarnation.clone(), last_end));
     }
     changes
 }
 
-/// Follows each open run of the worker: whether it began, goes on or is missing.
-fn follow_runs(
+/// Updates the order state of each open run of the worker. Returns the ends of runs that never
+/// began.
+fn update_order_states(
     session: &mut Session,
     observation: &Observation,
     table: &JobTable,
@@ -109,13 +113,13 @@
         let running = observation.running.iter().any(|row| row.run == *run);
         let order = session.orders.get(run).copied();
         let next = match order {
-            // The end is on its way into the table; the run needs no more orders.
+            // The end has been proposed to the table; the run needs no more orders.
             _ if ended => Some(OrderState::Active { missing_count: 0 }),
             None if running => Some(OrderState::Active { missing_count: 0 }),
             Some(OrderState::Stopping { .. }) if running => None,
             _ if running => Some(OrderState::Active { missing_count: 0 }),
             Some(OrderState::Active { missing_count } | OrderState::Unknown { missing_count })
-                if missing_count + 1 >= MISSING_LIMIT =>
+                if missing_count + 1 >= MISSING_OBSERVATION_COUNT =>
             {
                 Some(OrderState::Stopping { sent_at: None })
             }
@@ -126,7 +130,8 @@
                 Some(OrderState::Unknown { missing_count: missing_count + 1 })
             }
             Some(OrderState::Stopping { .. }) if observation.stopped.contains(run) => {
-                // Neither running nor ended after a confirmed stop: it never began and cannot.
+                // Neither running nor ended after a confirmed stop: the run never began, and the
+                // stop bars it from beginning.
                 changes.push(TableChange::End(RunEnd {
                     run: run.clone(),
                     outcome: RunOutcome::NeverBegan,
--- a/crates/yuccatack_dispatch/src/placement.rs
+++ b/crates/yuccatack_dispatch/src/placement.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a unit fit.
+//! Placement of task groups on workers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,70 +6,79 @@
 use yuccatack_core::{FastHashMap, Resources};
 use yuccatack_runs::{RunId, RunStart, TaskId};
 
-use crate::capacity::{Slot, footprint, subtract};
-use crate::demand::Unit;
+use crate::capacity::{WorkerSnapshot, footprint, subtract};
+use crate::demand::TaskGroup;
 
-/// The place of each task of a unit: an index into the slots.
+/// Worker of each task of a group, as an index into the list of workers.
 pub(crate) type Placement = Vec<usize>;
 
-/// Which free capacity counts.
+/// Capacity of a worker that a placement counts on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Room {
-    /// What nothing uses now.
-    Now,
-    /// What nothing uses once everything that is being stopped has ended.
-    Soon,
-    /// The whole worker.
-    Whole,
+pub(crate) enum CapacityKind {
+    /// Capacity that no open run occupies.
+    Free,
+    /// Capacity that is free once all runs that are being stopped have ended.
+    FreeAfterStops,
+    /// Capacity of the worker without any runs.
+    Total,
 }
 
-impl Room {
-    fn of(self, slot: &Slot) -> Resources {
+impl CapacityKind {
+    fn of(self, worker: &WorkerSnapshot) -> Resources {
         match self {
-            Self::Now => slot.free,
-            Self::Soon => slot.free_soon,
-            Self::Whole => slot.total,
+            Self::Free => worker.free,
+            Self::FreeAfterStops => worker.free_after_stops,
+            Self::Total => worker.total,
         }
     }
 }
 
-/// Whether a worker may run tasks of the unit at all.
-pub(crate) fn is_eligible(unit: &Unit<'_>, slot: &Slot) -> bool {
-    let labelled =
-        unit.spec.required_label.as_ref().is_none_or(|label| slot.labels.contains(label));
-    labelled && slot.service == unit.job.submission.service && (slot.trusted || !unit.last_attempt)
+/// Returns `true` if a worker may run tasks of the group, regardless of its free capacity.
+pub(crate) fn is_eligible(group: &TaskGroup<'_>, worker: &WorkerSnapshot) -> bool {
+    let has_label =
+        group.spec.required_label.as_ref().is_none_or(|label| worker.labels.contains(label));
+    has_label
+        && worker.service == group.job.submission.service
+        && (worker.reliable || !group.last_attempt)
 }
 
-/// How many more tasks of the unit's step a worker may get under the step's limit.
-pub(crate) fn step_allowance(unit: &Unit<'_>, slot: &Slot) -> u32 {
-    let Some(limit) = unit.spec.tasks_per_worker else { return u32::MAX };
-    let of_step = |run: &&RunId| {
-        run.task.job == unit.job.submission.name
-            && run.task.occurrence == unit.occurrence
-            && run.task.step == unit.step
+/// Returns the number of further tasks of the group's step that its limit per worker allows.
+pub(crate) fn step_allowance(group: &TaskGroup<'_>, worker: &WorkerSnapshot) -> u32 {
+    let Some(limit) = group.spec.tasks_per_worker else { return u32::MAX };
+    let in_step = |run: &&RunId| {
+        run.task.job == group.job.submission.name
+            && run.task.occurrence == group.occurrence
+            && run.task.step == group.step
     };
-    let present = slot.runs.iter().filter(of_step).count();
+    let present = worker.runs.iter().filter(in_step).count();
     limit.saturating_sub(u32::try_from(present).unwrap_or(u32::MAX))
 }
 
-/// The sets of workers to try, the best first.
-pub(crate) fn candidate_sets(unit: &Unit<'_>, slots: &[Slot]) -> Vec<Vec<usize>> {
+/// Returns the sets of workers on which the group may be placed.
+///
+/// Prefers the rack that holds the step's data, then single racks for rack-local gangs. A rack
+/// counts only if it could hold the whole group when empty; otherwise all eligible workers form one
+/// set.
+pub(crate) fn candidate_sets(group: &TaskGroup<'_>, workers: &[WorkerSnapshot]) -> Vec<Vec<usize>> {
     let eligible: Vec<usize> =
-        (0..slots.len()).filter(|at| is_eligible(unit, &slots[*at])).collect();
+        (0..workers.len()).filter(|index| is_eligible(group, &workers[*index])).collect();
     let racks: BTreeSet<Option<Arc<str>>> =
-        eligible.iter().map(|at| slots[*at].rack.clone()).collect();
+        eligible.iter().map(|index| workers[*index].rack.clone()).collect();
     let in_rack = |rack: &Option<Arc<str>>| -> Vec<usize> {
-        eligible.iter().copied().filter(|at| slots[*at].rack == *rack).collect()
+        eligible.iter().copied().filter(|index| workers[*index].rack == *rack).collect()
     };
-    if let Some(data_rack) = &unit.spec.data_rack {
-        let near = in_rack(&Some(data_rack.clone()));
-        if fits(unit, slots, &near, Room::Whole) {
-            return vec![near];
+    if let Some(data_rack) = &group.spec.data_rack {
+        let data_rack_workers = in_rack(&Some(data_rack.clone()));
+        if fits(group, workers, &data_rack_workers, CapacityKind::Total) {
+            return vec![data_rack_workers];
         }
     }
-    if unit.spec.rack_local && unit.tasks.len() > 1 {
-        let sets: Vec<Vec<usize>> =
-            racks.iter().map(in_rack).filter(|set| fits(unit, slots, set, Room::Whole)).collect();
+    if group.spec.rack_local && group.tasks.len() > 1 {
+        let sets: Vec<Vec<usize>> = racks
+            .iter()
+            .map(in_rack)
+            .filter(|set| fits(group, workers, set, CapacityKind::Total))
+            .collect();
         if !sets.is_empty() {
             return sets;
         }
@@ -77,57 +86,69 @@
     vec![eligible]
 }
 
-fn fits(unit: &Unit<'_>, slots: &[Slot], set: &[usize], room: Room) -> bool {
-    place_in(unit, slots, set, room, true).is_some()
+fn fits(
+    group: &TaskGroup<'_>,
+    workers: &[WorkerSnapshot],
+    set: &[usize],
+    kind: CapacityKind,
+) -> bool {
+    place_in(group, workers, set, kind, true).is_some()
 }
 
-/// Places the unit where it leaves the least unusable rest.
+/// Places the group on the set of workers with the fewest accelerators left over.
 pub(crate) fn place(
-    unit: &Unit<'_>,
-    slots: &[Slot],
-    room: Room,
+    group: &TaskGroup<'_>,
+    workers: &[WorkerSnapshot],
+    kind: CapacityKind,
     with_reserved: bool,
 ) -> Option<Placement> {
-    let sets = candidate_sets(unit, slots);
-    let placements = sets.iter().filter_map(|set| place_in(unit, slots, set, room, with_reserved));
-    placements.min_by_key(|placement| leftover(placement, slots, room))
+    let sets = candidate_sets(group, workers);
+    let placements =
+        sets.iter().filter_map(|set| place_in(group, workers, set, kind, with_reserved));
+    placements.min_by_key(|placement| leftover(placement, workers, kind))
 }
 
-/// Accelerators that stay free on the chosen workers; small leftovers keep other workers whole.
-fn leftover(placement: &Placement, slots: &[Slot], room: Room) -> u32 {
+/// Returns the accelerators that are free on the chosen workers. Placements with small leftovers
+/// keep other workers empty for large groups.
+fn leftover(placement: &Placement, workers: &[WorkerSnapshot], kind: CapacityKind) -> u32 {
     let chosen: BTreeSet<usize> = placement.iter().copied().collect();
-    chosen.into_iter().map(|at| room.of(&slots[at]).accelerator_count).sum()
+    chosen.into_iter().map(|index| kind.of(&workers[index]).accelerator_count).sum()
 }
 
-/// Places each task on the fullest worker of the set that still holds it.
+/// Places each task on the worker of the set with the least free capacity that still fits it.
 pub(crate) fn place_in(
-    unit: &Unit<'_>,
-    slots: &[Slot],
+    group: &TaskGroup<'_>,
+    workers: &[WorkerSnapshot],
     set: &[usize],
-    room: Room,
+    kind: CapacityKind,
     with_reserved: bool,
 ) -> Option<Placement> {
-    let need = footprint(unit.spec);
+    let need = footprint(group.spec);
     let mut free: FastHashMap<usize, (Resources, u32)> = FastHashMap::default();
-    for at in set {
-        let kept = room != Room::Whole && slots[*at].kept && !unit.is_urgent();
-        if !kept && (with_reserved || !slots[*at].reserved) {
-            free.insert(*at, (room.of(&slots[*at]), step_allowance(unit, &slots[*at])));
+    for index in set {
+        let held_for_urgent =
+            kind != CapacityKind::Total && workers[*index].held_for_urgent && !group.is_urgent();
+        if !held_for_urgent && (with_reserved || !workers[*index].reserved) {
+            free.insert(
+                *index,
+                (kind.of(&workers[*index]), step_allowance(group, &workers[*index])),
+            );
         }
     }
-    let mut placement = Vec::with_capacity(unit.tasks.len());
-    for _ in &unit.tasks {
+    let mut placement = Vec::with_capacity(group.tasks.len());
+    for _ in &group.tasks {
         let best = set
             .iter()
-            .filter(|at| {
-                free.get(at).is_some_and(|(room, allowed)| *allowed > 0 && room.contains(&need))
+            .filter(|index| {
+                free.get(index)
+                    .is_some_and(|(remaining, allowed)| *allowed > 0 && remaining.contains(&need))
             })
-            .min_by_key(|at| {
-                let room = free[at].0;
-                (room.accelerator_count, room.cores_milli, **at)
+            .min_by_key(|index| {
+                let remaining = free[index].0;
+                (remaining.accelerator_count, remaining.cores_milli, **index)
             })?;
-        if let Some((room, allowed)) = free.get_mut(best) {
-            *room = subtract(*room, need);
+        if let Some((remaining, allowed)) = free.get_mut(best) {
+            *remaining = subtract(*remaining, need);
             *allowed -= 1;
         }
         placement.push(*best);
@@ -135,23 +156,27 @@
     Some(placement)
 }
 
-/// Takes the room of a placement and returns the runs to begin.
-pub(crate) fn occupy(unit: &Unit<'_>, placement: &Placement, slots: &mut [Slot]) -> Vec<RunStart> {
-    let need = footprint(unit.spec);
+/// Deducts the capacity of a placement from its workers and returns the runs to begin.
+pub(crate) fn occupy(
+    group: &TaskGroup<'_>,
+    placement: &Placement,
+    workers: &mut [WorkerSnapshot],
+) -> Vec<RunStart> {
+    let need = footprint(group.spec);
     let mut starts = Vec::with_capacity(placement.len());
-    for (index, at) in unit.tasks.iter().zip(placement) {
-        let slot = &mut slots[*at];
-        slot.free = subtract(slot.free, need);
-        slot.free_soon = subtract(slot.free_soon, need);
+    for (task_index, index) in group.tasks.iter().zip(placement) {
+        let worker = &mut workers[*index];
+        worker.free = subtract(worker.free, need);
+        worker.free_after_stops = subtract(worker.free_after_stops, need);
         let task = TaskId {
-            job: unit.job.submission.name.clone(),
-            occurrence: unit.occurrence,
-            step: unit.step,
-            index: *index,
+            job: group.job.submission.name.clone(),
+            occurrence: group.occurrence,
+            step: group.step,
+            index: *task_index,
         };
-        let run = RunId { task, number: unit.run_number };
-        slot.runs.push(run.clone());
-        starts.push(RunStart { run, incarnation: slot.incarnation.clone() });
+        let run = RunId { task, number: group.run_number };
+        worker.runs.push(run.clone());
+        starts.push(RunStart { run, incarnation: worker.incarnation.clone() });
     }
     starts
 }
--- a/crates/yuccatack_dispatch/src/protocol.rs
+++ b/crates/yuccatack_dispatch/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What agents and the leader tell each other.
+//! Messages between agents and the leader.
 
 use std::sync::Arc;
 
@@ -6,126 +6,127 @@
 use yuccatack_core::{DataCentreName, DurationMs, Resources, ServiceName};
 use yuccatack_runs::{RunId, RunOutcome, WorkerIncarnation};
 
-/// What an agent reports.
+/// Message from an agent to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// The worker announced itself, or something about it changed.
+    /// The worker announced itself, or its state changed.
     State(WorkerState),
-    /// What the worker ran at one moment.
+    /// Result of a poll of the worker.
     Observed(Observation),
-    /// What became of a start.
+    /// Result of a start order.
     Start(RunId, StartResult),
-    /// The worker has left; everything that ran on it is over.
+    /// The worker has left; all its runs are over.
     Left(WorkerIncarnation),
 }
 
-/// A worker as it announces itself.
+/// State of a worker, as it announces itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerState {
-    /// Which incarnation of the worker speaks.
+    /// Incarnation of the worker that sent the announcement.
     #[serde(rename = "life")]
     pub incarnation: WorkerIncarnation,
-    /// The pool that the worker belongs to.
+    /// Pool that the worker belongs to.
     pub service: ServiceName,
-    /// Where it is.
+    /// Data centre in which the worker runs.
     pub data_centre: DataCentreName,
-    /// What it offers.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Its kind, its rack and whatever else it is labelled with.
+    /// Labels that steps may require, among them the worker's kind and rack.
     pub labels: Vec<Arc<str>>,
-    /// The last label, which names the rack.
+    /// Rack of the worker, which is its last label; `None` without labels.
     pub rack: Option<Arc<str>>,
-    /// Whether it leaves and takes no new work.
+    /// Set if the worker is about to leave and takes no new work.
     pub draining: bool,
-    /// How long it stays at least, while it drains.
+    /// Minimum time until a draining worker leaves.
     pub remaining_ms: Option<DurationMs>,
 }
 
-/// What a worker ran at one moment.
+/// Runs of a worker at the time of a poll.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Which incarnation of the worker answered.
+    /// Incarnation of the worker that answered the poll.
     #[serde(rename = "life")]
     pub incarnation: WorkerIncarnation,
-    /// The worker's steady clock.
+    /// Monotonic clock of the worker.
     pub clock_ms: u64,
-    /// What runs.
+    /// Runs that are executing.
     pub running: Vec<RunningRun>,
-    /// What has ended and was not noted yet, in the order of the numbers.
+    /// Run ends that the leader has not acknowledged yet, in ascending order of their numbers.
     pub ended: Vec<EndedRun>,
-    /// Runs that the worker was told to stop and confirmed before it was observed.
+    /// Runs whose stop the worker had confirmed before the poll.
     pub stopped: Vec<RunId>,
 }
 
-/// A run at work.
+/// Run that is executing on a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunningRun {
-    /// The run.
+    /// Run and task that execute.
     pub run: RunId,
-    /// Its newest saved progress.
+    /// Latest checkpoint of the run; `None` if it has saved none.
     pub checkpoint: Option<Arc<str>>,
-    /// How much of its work is done, or whether a long-running one is at work.
+    /// Completed part of the work in percent; for a long-running task, an indication that it is
+    /// active.
     pub percent: u8,
-    /// A rough figure of the last half second: the tail latency in milliseconds of a task that
-    /// serves users, otherwise the thousandths of a core in use.
+    /// Rough load over the last 500 ms: tail latency in milliseconds for tasks that serve users,
+    /// CPU use in thousandths of a core for all others.
     pub load: Option<u64>,
 }
 
-/// A run that has ended.
+/// Run that has ended on a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndedRun {
-    /// Numbers the ends of the worker's incarnation from 1.
+    /// Sequence number of the end within the worker's incarnation, counted from 1.
     pub number: u64,
-    /// The run.
+    /// Run and task that ended.
     pub run: RunId,
-    /// How it ended.
+    /// Outcome that the worker reports.
     pub outcome: RunOutcome,
-    /// What it saved.
+    /// Last checkpoint of the run; `None` if it saved none.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// What became of a start.
+/// Result of a start order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum StartResult {
     /// The run has begun.
     Begun,
-    /// The worker has no room.
+    /// The worker lacks free capacity.
     NoRoom,
-    /// The worker refused for another reason, and has done nothing.
+    /// The worker refused for another reason and did not begin the run.
     Refused,
-    /// There was no answer; the start may still be carried out.
+    /// No response arrived; the start may still be carried out.
     Unknown,
 }
 
-/// What the leader tells an agent.
+/// Orders from the leader to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
-    /// The leader's fencing token; orders of a lower one are void.
+    /// Fencing token of the leader; agents drop orders with a lower one.
     pub token: u64,
-    /// The incarnation that the orders are for; any other must not get them.
+    /// Incarnation that the orders are for; no other one may carry them out.
     #[serde(rename = "life")]
     pub incarnation: WorkerIncarnation,
-    /// Ends up to this number are stored and may be forgotten.
+    /// Run ends up to this number are stored; the worker may drop them.
     #[serde(rename = "noted_end")]
     pub acknowledged_end: u64,
-    /// A renewed lease: when everything on the worker stops unless it is renewed again, by the
-    /// worker's clock.
+    /// Expiry of a renewed lease, by the worker's clock; all runs stop then unless it is renewed
+    /// again. `None` leaves the lease as it is.
     pub lease_until_clock_ms: Option<u64>,
-    /// Runs to begin.
+    /// Runs that the worker must begin.
     pub starts: Vec<StartOrder>,
-    /// Runs to stop, and to bar if they have not begun.
+    /// Runs to stop, and to bar from starting if they have not begun.
     pub stops: Vec<RunId>,
 }
 
-/// A run to begin.
+/// Order to begin a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
-    /// The run.
+    /// Run and task to begin.
     pub run: RunId,
-    /// What to run.
+    /// Payload of the job, opaque to the scheduler.
     pub payload: Arc<str>,
-    /// The lease that comes with it, by the worker's clock.
+    /// Expiry of the lease that comes with the start, by the worker's clock.
     pub until_clock_ms: u64,
-    /// The progress to resume from.
+    /// Checkpoint to resume from; `None` starts from the beginning.
     pub checkpoint: Option<Arc<str>>,
 }
--- a/crates/yuccatack_dispatch/src/reconcile.rs
+++ b/crates/yuccatack_dispatch/src/reconcile.rs
@@ -1,4 +1,4 @@
-//! Which orders bring each worker to what the table says.
+//! Orders that bring each worker in line with the job table.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,47 +8,51 @@
 
 use crate::protocol::{Orders, StartOrder};
 use crate::session::{OrderState, Session};
-use crate::settings::{DispatchSettings, START_RESULT_LIMIT, STOP_RESEND_SLACK};
+use crate::settings::{DispatchSettings, START_RESULT_TIMEOUT_MS, STOP_RESEND_MARGIN_MS};
 
-/// A run of a whole gang.
+/// Run of a whole gang: job, occurrence, step and run number.
 type GangRun = (JobName, u32, u32, u32);
 
-/// What the orders follow from.
+/// Inputs of one round of orders.
 pub(crate) struct Reconciliation<'a> {
     pub settings: &'a DispatchSettings,
     pub table: &'a JobTable,
-    /// Runs that must stop although their job goes on.
+    /// Runs that must stop although their job continues.
     pub evicted: &'a FastHashSet<RunId>,
     pub token: u64,
     pub now: TimestampMs,
 }
 
 impl Reconciliation<'_> {
-    /// The orders that are due, and a renewed lease where a newer clock reading allows one.
+    /// Returns the orders that are due, with a renewed lease if there is a newer clock reading.
     pub fn orders(&self, sessions: &mut BTreeMap<NodeName, Session>) -> Vec<(NodeName, Orders)> {
-        let broken = self.broken_gangs(sessions);
-        let mut all = Vec::new();
+        let incomplete = self.incomplete_gangs(sessions);
+        let mut all_orders = Vec::new();
         for (node, session) in sessions.iter_mut().filter(|(_, session)| session.connected) {
             session.orders.retain(|run, _| self.table.open_runs().contains_key(run));
-            if let Some(orders) = self.orders_of(session, &broken) {
-                all.push((node.clone(), orders));
+            if let Some(orders) = self.worker_orders(session, &incomplete) {
+                all_orders.push((node.clone(), orders));
             }
         }
-        all
+        all_orders
     }
 
-    fn orders_of(&self, session: &mut Session, broken: &FastHashSet<GangRun>) -> Option<Orders> {
+    fn worker_orders(
+        &self,
+        session: &mut Session,
+        incomplete: &FastHashSet<GangRun>,
+    ) -> Option<Orders> {
         let state = session.state.as_ref()?;
         let (incarnation, draining) = (state.incarnation.clone(), state.draining);
-        let lease_until_clock_ms = self.grant(session);
+        let lease_until_clock_ms = self.renew_lease(session);
         let acknowledged_end = self.table.acknowledged_end(&incarnation);
-        let news_of_ends = acknowledged_end > session.told_noted_end;
+        let has_new_acknowledgement = acknowledged_end > session.sent_acknowledged_end;
         let mut starts = Vec::new();
         let mut stops = Vec::new();
         for run in self.table.runs_on(&incarnation) {
-            let wanted = self.is_wanted(run, broken);
+            let should_run = self.should_run(run, incomplete);
             match session.orders.get(run).copied() {
-                None if wanted && !draining => {
+                None if should_run && !draining => {
                     if let Some(order) = self.start_order(session, run) {
                         session
                             .orders
@@ -56,13 +60,13 @@
                         starts.push(order);
                     }
                 }
-                Some(OrderState::Starting { sent_at }) if wanted => {
-                    if self.now.since(sent_at) > START_RESULT_LIMIT {
+                Some(OrderState::Starting { sent_at }) if should_run => {
+                    if self.now.since(sent_at) > START_RESULT_TIMEOUT_MS {
                         let unknown = OrderState::Unknown { missing_count: 0 };
                         session.orders.insert(run.clone(), unknown);
                     }
                 }
-                Some(OrderState::Active { .. } | OrderState::Unknown { .. }) if wanted => {}
+                Some(OrderState::Active { .. } | OrderState::Unknown { .. }) if should_run => {}
                 Some(OrderState::Stopping { sent_at: Some(sent_at) })
                     if self.now.since(sent_at) <= self.stop_resend_interval() => {}
                 _ => {
@@ -72,11 +76,11 @@
                 }
             }
         }
-        let renewed = lease_until_clock_ms.is_some();
-        if !renewed && !news_of_ends && starts.is_empty() && stops.is_empty() {
+        let renews_lease = lease_until_clock_ms.is_some();
+        if !renews_lease && !has_new_acknowledgement && starts.is_empty() && stops.is_empty() {
             return None;
         }
-        session.told_noted_end = acknowledged_end;
+        session.sent_acknowledged_end = acknowledged_end;
         Some(Orders {
             token: self.token,
             incarnation,
@@ -88,25 +92,25 @@
     }
 
     fn stop_resend_interval(&self) -> DurationMs {
-        self.settings.stop_ms + STOP_RESEND_SLACK
+        self.settings.stop_timeout_ms + STOP_RESEND_MARGIN_MS
     }
 
-    fn grant(&self, session: &mut Session) -> Option<u64> {
-        let base = session.base?;
-        if session.granted_from == Some(base) {
+    fn renew_lease(&self, session: &mut Session) -> Option<u64> {
+        let confirmed_reading = session.confirmed_reading?;
+        if session.lease_reading == Some(confirmed_reading) {
             return None;
         }
-        session.granted_from = Some(base);
-        let until_clock_ms = base.clock_ms + self.settings.lease_ms.get();
+        session.lease_reading = Some(confirmed_reading);
+        let until_clock_ms = confirmed_reading.clock_ms + self.settings.lease_ms.get();
         session.lease_until_clock_ms = session.lease_until_clock_ms.max(until_clock_ms);
         Some(until_clock_ms)
     }
 
     fn start_order(&self, session: &mut Session, run: &RunId) -> Option<StartOrder> {
-        let base = session.base?;
+        let confirmed_reading = session.confirmed_reading?;
         let job = self.table.job(&run.task.job)?;
         let spec = job.step_spec(run.task.step)?;
-        let until_clock_ms = base.clock_ms + self.settings.lease_ms.get();
+        let until_clock_ms = confirmed_reading.clock_ms + self.settings.lease_ms.get();
         session.lease_until_clock_ms = session.lease_until_clock_ms.max(until_clock_ms);
         let step = &job.occurrences.get(&run.task.occurrence)?.steps[run.task.step as usize];
         let checkpoint = step.checkpoint(spec, run.task.index);
@@ -114,48 +118,49 @@
             run: run.clone(),
             payload: Arc::clone(&job.submission.spec.payload),
             until_clock_ms,
-            checkpoint: checkpoint.map(|held| Arc::clone(&held.value)),
+            checkpoint: checkpoint.map(|checkpoint| Arc::clone(&checkpoint.value)),
         })
     }
 
-    fn is_wanted(&self, run: &RunId, broken: &FastHashSet<GangRun>) -> bool {
+    fn should_run(&self, run: &RunId, incomplete: &FastHashSet<GangRun>) -> bool {
         let active = self.table.job(&run.task.job).is_some_and(|job| !job.phase.is_final());
-        active && !self.evicted.contains(run) && !broken.contains(&gang_run(run))
+        active && !self.evicted.contains(run) && !incomplete.contains(&gang_run(run))
     }
 
-    /// Gangs of which a member has ended or must stop; the others only wait for it in vain.
-    fn broken_gangs(&self, sessions: &BTreeMap<NodeName, Session>) -> FastHashSet<GangRun> {
-        let mut members: FastHashMap<GangRun, u32> = FastHashMap::default();
-        let mut broken = FastHashSet::default();
+    /// Returns the gang runs of which a member has ended or must stop. Their other members would
+    /// wait for it indefinitely, so they are stopped too.
+    fn incomplete_gangs(&self, sessions: &BTreeMap<NodeName, Session>) -> FastHashSet<GangRun> {
+        let mut open_member_counts: FastHashMap<GangRun, u32> = FastHashMap::default();
+        let mut incomplete = FastHashSet::default();
         for (run, open) in self.table.open_runs() {
             let Some(job) = self.table.job(&run.task.job) else { continue };
             let Some(spec) = job.step_spec(run.task.step).filter(|spec| spec.gang) else {
                 continue;
             };
             let key = gang_run(run);
-            let count = members.entry(key.clone()).or_default();
+            let count = open_member_counts.entry(key.clone()).or_default();
             *count += 1;
             let order =
                 sessions.get(&open.incarnation.node).and_then(|session| session.orders.get(run));
             let stopping = matches!(order, Some(OrderState::Stopping { .. }));
             if stopping || self.evicted.contains(run) {
-                broken.insert(key);
+                incomplete.insert(key);
             } else if *count == spec.task_count {
-                // Complete so far; a member seen later can only be part of another run.
-                members.remove(&key);
+                // All members are open; any further one would belong to another run of the gang.
+                open_member_counts.remove(&key);
             }
         }
-        for (key, _) in members {
+        for (key, _) in open_member_counts {
             let done = self.table.job(&key.0).is_none_or(|job| {
                 job.occurrences
                     .get(&key.1)
                     .is_some_and(|occurrence| occurrence.steps[key.2 as usize].is_done())
             });
             if !done {
-                broken.insert(key);
+                incomplete.insert(key);
             }
         }
-        broken
+        incomplete
     }
 }
 
--- a/crates/yuccatack_dispatch/src/session.rs
+++ b/crates/yuccatack_dispatch/src/session.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one worker.
+//! The leader's state of one worker and its agent.
 
 use yuccatack_core::{FastHashMap, TimestampMs};
 use yuccatack_runs::{RunId, WorkerIncarnation};
@@ -6,70 +6,72 @@
 use crate::health::Health;
 use crate::lease::ClockReading;
 use crate::protocol::WorkerState;
-use crate::settings::FRESH_READING_LIMIT;
+use crate::settings::MAX_READING_AGE_MS;
 
-/// How far the leader's orders about a run have come.
+/// Progress of the leader's orders for a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum OrderState {
-    /// A start was sent.
+    /// A start was sent and its result is awaited.
     Starting { sent_at: TimestampMs },
-    /// The run has begun. The count is that of observations in a row in which it was missing.
+    /// The run has begun. `missing_count` is the number of consecutive observations without it.
     Active { missing_count: u8 },
-    /// A start got no answer; observations show whether the run is there.
+    /// The start got no response; observations show whether the run began.
     Unknown { missing_count: u8 },
-    /// The run is told to stop; a start that is still under way is barred by it.
+    /// The run must stop. The stop also bars a start that is still in flight.
     Stopping { sent_at: Option<TimestampMs> },
 }
 
-/// One worker and its agent.
+/// Session of a node's agent and the worker behind it.
 #[derive(Debug, Default)]
 pub(crate) struct Session {
-    /// Whether the agent's stream is open.
+    /// Set while the agent's stream is open.
     pub connected: bool,
-    /// The worker as it announced itself last.
+    /// Latest announcement of the worker; `None` if it has not announced itself or has left.
     pub state: Option<WorkerState>,
-    /// The newest reading of the worker's clock.
-    pub reading: Option<ClockReading>,
-    /// The newest reading that was received before the lead was last confirmed.
-    pub base: Option<ClockReading>,
-    /// The latest end of any lease granted to this incarnation.
+    /// Latest reading of the worker's clock.
+    pub latest_reading: Option<ClockReading>,
+    /// Latest reading that was received before leadership was last confirmed. Leases build on it.
+    pub confirmed_reading: Option<ClockReading>,
+    /// Latest expiry of any lease granted to this incarnation, by the worker's clock.
     pub lease_until_clock_ms: u64,
-    /// The reading that the last grant was made from, so that each reading is used once.
-    pub granted_from: Option<ClockReading>,
-    /// The last end that was proposed to the table.
+    /// Reading from which the lease was last renewed, so that each reading renews it once.
+    pub lease_reading: Option<ClockReading>,
+    /// Highest number of a run end that was proposed to the table.
     pub proposed_end: u64,
-    /// The last noted end that the agent was told of.
-    pub told_noted_end: u64,
-    /// The orders about the worker's runs.
+    /// Highest acknowledged end that was sent to the agent.
+    pub sent_acknowledged_end: u64,
+    /// Order state of each run of the worker.
     pub orders: FastHashMap<RunId, OrderState>,
-    /// What its runs have shown.
     pub health: Health,
 }
 
 impl Session {
-    /// The incarnation that is known to be the present one.
+    /// Returns the current incarnation of the worker; `None` while no worker is announced.
     pub fn incarnation(&self) -> Option<&WorkerIncarnation> {
         self.state.as_ref().map(|state| &state.incarnation)
     }
 
-    /// Whether the worker may get new runs.
+    /// Returns `true` if the worker may get new runs: its agent is connected, its clock reading is
+    /// recent, and it is neither draining nor quarantined.
     pub fn is_available(&self, now: TimestampMs) -> bool {
-        let fresh = |reading: &ClockReading| now.since(reading.received_at) <= FRESH_READING_LIMIT;
+        let is_recent =
+            |reading: &ClockReading| now.since(reading.received_at) <= MAX_READING_AGE_MS;
         self.connected
             && self.state.as_ref().is_some_and(|state| !state.draining)
-            && self.base.as_ref().is_some_and(fresh)
+            && self.confirmed_reading.as_ref().is_some_and(is_recent)
             && self.health.is_usable(now)
     }
 
-    /// Forgets everything that ended with the earlier incarnation.
-    pub fn begin_life(&mut self, state: WorkerState) {
+    /// Discards the state of the previous incarnation.
+    pub fn begin_incarnation(&mut self, state: WorkerState) {
         *self = Self { connected: self.connected, state: Some(state), ..Self::default() };
     }
 
-    /// After the agent's stream was opened anew, orders on their way may have been lost.
+    /// Marks the agent as connected. Orders sent on an earlier stream may have been lost, so starts
+    /// become unknown, and stops and acknowledgements are sent again.
     pub fn reconnect(&mut self) {
         self.connected = true;
-        self.told_noted_end = 0;
+        self.sent_acknowledged_end = 0;
         for order in self.orders.values_mut() {
             match order {
                 OrderState::Starting { .. } => *order = OrderState::Unknown { missing_count: 0 },
--- a/crates/yuccatack_dispatch/tests/reclaim_order.rs
+++ b/crates/yuccatack_dispatch/tests/reclaim_order.rs
@@ -1,130 +1,136 @@
-//! Guards against guaranteed work that waits behind other work, and against evictions that nobody
-//! needs.
+//! Guards against guaranteed work that waits behind other work, and against evictions that are not
+//! needed or lose more work than necessary.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
 
-use support::{World, run, starts, step, stops};
+use support::{TestCluster, run, starts, step, stops};
 use yuccatack_runs::{RunOutcome, StepSpec};
 
 #[test]
 fn guaranteed_evicts() {
-    let mut world = World::new(1);
-    world.organisation("owner", 8);
-    world.submit("low", 2, step(1, 8));
-    world.decide();
-    world.begun(&run("low", 0, 1));
-    world.submit_for("urgent", Some("owner"), 0, step(1, 8));
-    world.observe(0, &[(run("low", 0, 1), 10)], &[], &[]);
-    assert_eq!(stops(&world.decide()), [run("low", 0, 1)]);
-    world.advance(400);
-    world.observe(0, &[], &[(run("low", 0, 1), RunOutcome::Stopped)], &[]);
-    // The room goes to the unit that it was made for.
-    world.submit("other", 0, step(1, 8));
-    assert_eq!(starts(&world.decide()), [run("urgent", 0, 1)]);
+    let mut cluster = TestCluster::new(1);
+    cluster.add_organisation("owner", 8);
+    cluster.submit("low", 2, step(1, 8));
+    cluster.decide();
+    cluster.report_begun(&run("low", 0, 1));
+    cluster.submit_for("urgent", Some("owner"), 0, step(1, 8));
+    cluster.observe(0, &[(run("low", 0, 1), 10)], &[], &[]);
+    assert_eq!(stops(&cluster.decide()), [run("low", 0, 1)]);
+    cluster.advance(400);
+    cluster.observe(0, &[], &[(run("low", 0, 1), RunOutcome::Stopped)], &[]);
+    // The freed capacity goes to the job that it was freed for.
+    cluster.submit("other", 0, step(1, 8));
+    assert_eq!(starts(&cluster.decide()), [run("urgent", 0, 1)]);
 }
 
 #[test]
 fn guaranteed_not_evicted() {
-    let mut world = World::new(1);
-    world.organisation("owner", 8);
-    world.submit_for("first", Some("owner"), 0, step(1, 8));
-    world.decide();
-    world.begun(&run("first", 0, 1));
-    world.submit("second", 0, step(1, 8));
-    world.observe(0, &[(run("first", 0, 1), 10)], &[], &[]);
-    assert!(stops(&world.decide()).is_empty(), "guaranteed work gave way");
+    let mut cluster = TestCluster::new(1);
+    cluster.add_organisation("owner", 8);
+    cluster.submit_for("first", Some("owner"), 0, step(1, 8));
+    cluster.decide();
+    cluster.report_begun(&run("first", 0, 1));
+    cluster.submit("second", 0, step(1, 8));
+    cluster.observe(0, &[(run("first", 0, 1), 10)], &[], &[]);
+    assert!(stops(&cluster.decide()).is_empty(), "guaranteed work was evicted");
 }
 
 #[test]
-fn beyond_guarantee_gives_way() {
-    let mut world = World::new(1);
-    world.organisation("owner", 4);
-    world.submit("greedy", 0, step(1, 8));
-    world.decide();
-    world.begun(&run("greedy", 0, 1));
-    world.submit_for("urgent", Some("owner"), 0, step(1, 4));
-    world.observe(0, &[(run("greedy", 0, 1), 10)], &[], &[]);
-    assert_eq!(stops(&world.decide()), [run("greedy", 0, 1)]);
+fn beyond_guarantee_evicted() {
+    let mut cluster = TestCluster::new(1);
+    cluster.add_organisation("owner", 4);
+    cluster.submit("greedy", 0, step(1, 8));
+    cluster.decide();
+    cluster.report_begun(&run("greedy", 0, 1));
+    cluster.submit_for("urgent", Some("owner"), 0, step(1, 4));
+    cluster.observe(0, &[(run("greedy", 0, 1), 10)], &[], &[]);
+    assert_eq!(stops(&cluster.decide()), [run("greedy", 0, 1)]);
 }
 
 #[test]
 fn cheapest_evicted() {
-    let mut world = World::new(1);
+    let mut cluster = TestCluster::new(1);
     let long = StepSpec { estimated_run_ms: yuccatack_core::DurationMs::new(9_000), ..step(1, 4) };
-    world.submit("costly", 2, long.clone());
-    world.submit("saved", 2, StepSpec { checkpointing: true, ..long });
-    world.decide();
-    world.begun(&run("costly", 0, 1));
-    world.begun(&run("saved", 0, 1));
-    world.submit("urgent", 0, step(1, 4));
-    world.observe(0, &[(run("costly", 0, 1), 50), (run("saved", 0, 1), 50)], &[], &[]);
-    assert_eq!(stops(&world.decide()), [run("saved", 0, 1)]);
+    cluster.submit("costly", 2, long.clone());
+    cluster.submit("saved", 2, StepSpec { checkpointing: true, ..long });
+    cluster.decide();
+    cluster.report_begun(&run("costly", 0, 1));
+    cluster.report_begun(&run("saved", 0, 1));
+    cluster.submit("urgent", 0, step(1, 4));
+    cluster.observe(0, &[(run("costly", 0, 1), 50), (run("saved", 0, 1), 50)], &[], &[]);
+    assert_eq!(stops(&cluster.decide()), [run("saved", 0, 1)]);
 }
 
 #[test]
 fn equal_priority_waits() {
-    let mut world = World::new(1);
-    world.submit("first", 1, step(1, 8));
-    world.decide();
-    world.begun(&run("first", 0, 1));
-    world.submit("second", 1, step(1, 8));
-    world.observe(0, &[(run("first", 0, 1), 10)], &[], &[]);
-    assert!(stops(&world.decide()).is_empty());
+    let mut cluster = TestCluster::new(1);
+    cluster.submit("first", 1, step(1, 8));
+    cluster.decide();
+    cluster.report_begun(&run("first", 0, 1));
+    cluster.submit("second", 1, step(1, 8));
+    cluster.observe(0, &[(run("first", 0, 1), 10)], &[], &[]);
+    assert!(stops(&cluster.decide()).is_empty());
 }
 
 #[test]
-fn burst_takes_turns() {
-    // Each urgent task needs a search over all runs; one decision must not make all of them.
+fn burst_searches_limited() {
+    // Each urgent task needs a search over all runs; one decision must not make all 40 searches.
     let worker_count = 40;
-    let mut world = World::new(worker_count);
-    for worker in 0..worker_count {
-        world.submit(&format!("low{worker}"), 2, step(1, 8));
+    let mut cluster = TestCluster::new(worker_count);
+    for worker_index in 0..worker_count {
+        cluster.submit(&format!("low{worker_index}"), 2, step(1, 8));
     }
-    let low = starts(&world.decide());
+    let low = starts(&cluster.decide());
     assert_eq!(low.len(), worker_count);
     for run in &low {
-        world.begun(run);
+        cluster.report_begun(run);
     }
-    for unit in 0..worker_count {
-        world.submit(&format!("urgent{unit}"), 0, step(1, 8));
+    for job_index in 0..worker_count {
+        cluster.submit(&format!("urgent{job_index}"), 0, step(1, 8));
     }
-    let first = stops(&world.decide()).len();
+    let first = stops(&cluster.decide()).len();
     assert!((1..worker_count).contains(&first), "{first} evictions in one decision");
-    let second = stops(&world.decide()).len();
+    let second = stops(&cluster.decide()).len();
     assert_eq!(
         first + second,
         worker_count,
-        "room that one unit waits for was promised to another"
+        "capacity reserved for one job was promised to another"
     );
 }
 
 #[test]
 fn tasks_reclaimed_together() {
-    let mut world = World::new(4);
-    world.organisation("holder", 32);
-    world.submit("background", 2, step(4, 8));
-    world.decide();
-    (0..4).for_each(|index| world.begun(&run("background", index, 1)));
-    // One after the other would take four stops, longer than a guarantee allows for many tasks.
-    world.submit_for("urgent", Some("holder"), 0, step(3, 8));
-    assert_eq!(stops(&world.decide()).len(), 3, "the tasks of one job were reclaimed in turn");
+    let mut cluster = TestCluster::new(4);
+    cluster.add_organisation("holder", 32);
+    cluster.submit("background", 2, step(4, 8));
+    cluster.decide();
+    (0..4).for_each(|index| cluster.report_begun(&run("background", index, 1)));
+    // Reclaiming one task after the other takes a stop each, which misses the time limit of a
+    // guarantee when there are many tasks.
+    cluster.submit_for("urgent", Some("holder"), 0, step(3, 8));
+    assert_eq!(stops(&cluster.decide()).len(), 3, "the tasks of one job were reclaimed in turn");
 }
 
 #[test]
-fn urgent_run_spared() {
-    let mut world = World::new(2);
-    world.organisation("holder", 16);
-    world.submit("background", 2, step(1, 8));
-    world.submit("urgent", 0, step(1, 8));
-    world.decide();
-    // The less urgent run has more to lose, but its job has time to do the work again.
+fn urgent_run_not_evicted() {
+    let mut cluster = TestCluster::new(2);
+    cluster.add_organisation("holder", 16);
+    cluster.submit("background", 2, step(1, 8));
+    cluster.submit("urgent", 0, step(1, 8));
+    cluster.decide();
+    // The less urgent run loses more work, but its job has time to repeat it.
     for (job, percent) in [("background", 60), ("urgent", 1)] {
-        let begun = run(job, 0, 1);
-        world.begun(&begun);
-        world.observe(world.place(&begun), &[(begun.clone(), percent)], &[], &[]);
+        let started_run = run(job, 0, 1);
+        cluster.report_begun(&started_run);
+        cluster.observe(
+            cluster.worker_of(&started_run),
+            &[(started_run.clone(), percent)],
+            &[],
+            &[],
+        );
     }
-    world.submit_for("guaranteed", Some("holder"), 0, step(1, 8));
-    assert_eq!(stops(&world.decide()), [run("background", 0, 1)]);
+    cluster.submit_for("guaranteed", Some("holder"), 0, step(1, 8));
+    assert_eq!(stops(&cluster.decide()), [run("background", 0, 1)]);
 }
--- a/crates/yuccatack_dispatch/tests/support/mod.rs
+++ b/crates/yuccatack_dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small pool of workers, a table of jobs and a leader between them.
+//! Pool of simulated workers with a job table and a leader, driven step by step by a test.
 
 #![allow(clippy::unwrap_used, dead_code, missing_docs)]
 
@@ -18,22 +18,22 @@
     WorkerIncarnation,
 };
 
-pub const LONGEST_LEASE: DurationMs = DurationMs::new(10_000);
+pub const MAX_LEASE_MS: DurationMs = DurationMs::new(10_000);
 pub const TOKEN: u64 = 7;
 
-/// A leader with its table, driven by hand.
-pub struct World {
+/// Leader with its job table and the clock of a test.
+pub struct TestCluster {
     pub dispatcher: Dispatcher,
     pub table: JobTable,
     pub configuration: ConfigurationStore,
     pub now: TimestampMs,
-    /// Clocks of workers run beside the leader's, offset by this.
+    /// Offset of all workers' clocks from the leader's.
     pub clock_offset_ms: u64,
     pub end_number: u64,
 }
 
 pub fn settings() -> DispatchSettings {
-    DispatchSettings::new(LONGEST_LEASE, DurationMs::new(400))
+    DispatchSettings::new(MAX_LEASE_MS, DurationMs::new(400))
 }
 
 pub fn node(index: usize) -> NodeName {
@@ -73,11 +73,11 @@
     RunId { task: TaskId { job, occurrence: 0, step: 0, index }, number }
 }
 
-impl World {
-    /// `count` workers, two to a rack, all announced and observed.
+impl TestCluster {
+    /// Creates a cluster of `count` workers, two per rack, all announced and observed once.
     pub fn new(count: usize) -> Self {
         let now = TimestampMs::new(100_000);
-        let mut world = Self {
+        let mut cluster = Self {
             dispatcher: Dispatcher::new(settings(), TOKEN, now),
             table: JobTable::default(),
             configuration: ConfigurationStore::default(),
@@ -86,14 +86,14 @@
             end_number: 0,
         };
         for index in 0..count {
-            world.dispatcher.connect(&node(index));
-            world.tell(index, AgentMessage::State(state(index, 1)));
+            cluster.dispatcher.connect(&node(index));
+            cluster.deliver(index, AgentMessage::State(state(index, 1)));
         }
-        world.observe_all(count);
-        world
+        cluster.observe_all(count);
+        cluster
     }
 
-    pub fn organisation(&mut self, name: &str, guaranteed_accelerator_count: u32) {
+    pub fn add_organisation(&mut self, name: &str, guaranteed_accelerator_count: u32) {
         let organisation = Organisation {
             name: OrganisationName::new(name).unwrap(),
             keys: Vec::new(),
@@ -157,12 +157,12 @@
         }
     }
 
-    pub fn tell(&mut self, index: usize, message: AgentMessage) {
+    pub fn deliver(&mut self, index: usize, message: AgentMessage) {
         let changes = self.dispatcher.on_message(&node(index), message, &self.table, self.now);
         self.apply(changes);
     }
 
-    /// The worker is observed with these rows, and the lead is confirmed afterwards.
+    /// Delivers an observation of the worker with these runs, and then confirms leadership.
     pub fn observe(
         &mut self,
         index: usize,
@@ -199,7 +199,7 @@
             running: running.iter().map(row).collect(),
             stopped: stopped.to_vec(),
         };
-        self.tell(index, AgentMessage::Observed(observation));
+        self.deliver(index, AgentMessage::Observed(observation));
     }
 
     pub fn observe_all(&mut self, count: usize) {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Decides, applies what was decided and returns the orders.
+    /// Runs one decision, applies its changes and returns the orders.
     pub fn decide(&mut self) -> Vec<(NodeName, Orders)> {
         let (now, unix_ms) = (self.now, self.now.get());
         let changes = self.dispatcher.decide(&self.table, &self.configuration, now, unix_ms);
@@ -216,18 +216,18 @@
         self.dispatcher.orders(&self.table, now)
     }
 
-    /// Reports that a run has begun on the worker where the table has it.
-    pub fn begun(&mut self, run: &RunId) {
+    /// Reports the start of a run from the worker that the table assigns it to.
+    pub fn report_begun(&mut self, run: &RunId) {
         self.start_result(run, StartResult::Begun);
     }
 
     pub fn start_result(&mut self, run: &RunId, result: StartResult) {
-        let index = self.place(run);
-        self.tell(index, AgentMessage::Start(run.clone(), result));
+        let index = self.worker_of(run);
+        self.deliver(index, AgentMessage::Start(run.clone(), result));
     }
 
-    /// The worker that a run is on.
-    pub fn place(&self, run: &RunId) -> usize {
+    /// Returns the index of the worker that a run is on.
+    pub fn worker_of(&self, run: &RunId) -> usize {
         let node = &self.table.open_runs()[run].incarnation.node;
         node.as_str().trim_start_matches("node-").parse().unwrap()
     }
@@ -238,15 +238,18 @@
     }
 }
 
-/// All runs that the orders start.
+/// Returns all runs that the orders start, sorted.
 pub fn starts(orders: &[(NodeName, Orders)]) -> Vec<RunId> {
-    let mut runs: Vec<RunId> =
-        orders.iter().flat_map(|(_, orders)| &orders.starts).map(|s| s.run.clone()).collect();
+    let mut runs: Vec<RunId> = orders
+        .iter()
+        .flat_map(|(_, orders)| &orders.starts)
+        .map(|start| start.run.clone())
+        .collect();
     runs.sort();
     runs
 }
 
-/// All runs that the orders stop.
+/// Returns all runs that the orders stop, sorted.
 pub fn stops(orders: &[(NodeName, Orders)]) -> Vec<RunId> {
     let mut runs: Vec<RunId> = orders.iter().flat_map(|(_, orders)| orders.stops.clone()).collect();
     runs.sort();
