--- a/crates/yuccatack_runs/src/command.rs
+++ b/crates/yuccatack_runs/src/command.rs
@@ -1,4 +1,4 @@
-//! What the table is told.
+//! Inputs and outcomes of the operations on the job table.
 
 use std::sync::Arc;
 
@@ -8,89 +8,89 @@
 use crate::identity::{RunId, WorkerIncarnation};
 use crate::spec::JobSpec;
 
-/// An accepted job with the terms of its queue at that time.
+/// Accepted job with the terms of its queue at the time of acceptance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSubmission {
-    /// The caller's name for it.
+    /// Name of the job, chosen by the caller.
     pub name: JobName,
-    /// Where it was submitted.
+    /// Queue that the job was submitted to.
     pub queue: QueueName,
-    /// The pool whose workers run it.
+    /// Pool whose workers run the job.
     pub service: ServiceName,
-    /// Who submitted it.
+    /// Organisation of the caller; `None` if the job came without a known key.
     pub organisation: Option<OrganisationName>,
-    /// 0 comes first.
+    /// Priority of the job; 0 is the most urgent.
     pub priority: u32,
-    /// How many failed runs of a task or gang fail the job.
+    /// Number of failed runs of one task or gang after which the job fails.
     pub max_attempts: u32,
-    /// How much longer than its longest chain of work it may take.
+    /// Factor by which the objective of the job exceeds the length of its longest chain of steps.
     pub stretch: f64,
-    /// What it may take beyond that.
+    /// Time that the objective allows beyond the stretched chain.
     pub allowance_ms: DurationMs,
-    /// When it was accepted, by the leader's time of day.
+    /// Unix time of acceptance, by the leader's clock.
     pub accepted_at_unix_ms: u64,
-    /// What it runs.
+    /// Steps and payload of the job, as the caller submitted them.
     pub spec: JobSpec,
 }
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum SubmitOutcome {
-    /// The job is stored.
+    /// The job was new and is stored now.
     Accepted,
-    /// A job of that name is stored already; nothing changed.
+    /// A job of this name was stored before; the submission changed nothing.
     AlreadyStored,
 }
 
-/// What became of a cancellation.
+/// Outcome of a cancellation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum CancelOutcome {
-    /// The job will not begin any more work.
+    /// The job was cancelled and begins no more work; open runs may still be stopping.
     Cancelled,
-    /// The job had ended already.
+    /// The job had already completed, failed or been cancelled.
     AlreadyEnded,
-    /// No such job is stored.
+    /// No job of this name is stored.
     NotFound,
 }
 
-/// A run to begin.
+/// Assignment of a run to a worker.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RunStart {
-    /// The run.
+    /// Run to begin.
     pub run: RunId,
-    /// Where it runs.
+    /// Incarnation of the worker that executes the run.
     #[serde(rename = "life")]
     pub incarnation: WorkerIncarnation,
 }
 
-/// A run that is over.
+/// End of a run.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RunEnd {
-    /// The run.
+    /// Run that ended.
     pub run: RunId,
-    /// How it ended.
+    /// Reason for the end.
     pub outcome: RunOutcome,
-    /// The progress that it saved, if any.
+    /// Last checkpoint of the run; `None` if it saved none.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// How a run ended.
+/// Reason why a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// The task is done.
+    /// The task completed.
     Done,
-    /// It failed; this counts as an attempt.
+    /// The task failed, which counts as an attempt.
     Failed,
-    /// It was told to stop.
+    /// The run was stopped by an order.
     Stopped,
-    /// Its lease expired.
+    /// The lease of the run expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended first.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of the gang did not begin.
     Alone,
-    /// It never began, and cannot begin any more.
+    /// The run never began, and is barred from beginning.
     NeverBegan,
-    /// The worker's incarnation is over, or its lease must have expired.
+    /// The worker left or restarted, or the lease of the run must have expired.
     WorkerLost,
 }
--- a/crates/yuccatack_runs/src/identity.rs
+++ b/crates/yuccatack_runs/src/identity.rs
@@ -1,4 +1,4 @@
-//! What identifies tasks, runs and the incarnations of workers.
+//! Identifiers of tasks, runs and incarnations of workers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,24 +7,24 @@
 use snafu::Snafu;
 use yuccatack_core::{JobName, NodeName, WorkerName};
 
-/// One task of one occurrence of a job.
+/// Identifier of a task within one occurrence of a job.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// The occurrence, counted from 0; always 0 for a job that is not scheduled.
+    /// Index of the occurrence, counted from 0; always 0 for a job without a schedule.
     pub occurrence: u32,
-    /// The step, counted from 0.
+    /// Index of the step within the job, counted from 0.
     pub step: u32,
-    /// The task within the step, counted from 0.
+    /// Index of the task within the step, counted from 0.
     pub index: u32,
 }
 
-/// A text that names no task.
+/// Error for a text that is not a task identifier.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
-#[snafu(display("`{text}` names no task; use JOB.OCCURRENCE.STEP.INDEX"))]
+#[snafu(display("`{text}` is not a task identifier; use JOB.OCCURRENCE.STEP.INDEX"))]
 pub struct ParseTaskIdError {
-    /// The text.
+    /// Text that could not be parsed.
     pub text: String,
 }
 
@@ -52,12 +52,12 @@
     }
 }
 
-/// One run of a task.
+/// Identifier of a run, that is one execution of a task.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RunId {
-    /// The task.
+    /// Task that the run executes.
     pub task: TaskId,
-    /// Numbers the task's runs from 1; the members of a gang share the number.
+    /// Number of the run within its task, counted from 1. All members of a gang share the number.
     pub number: u32,
 }
 
@@ -67,14 +67,14 @@
     }
 }
 
-/// One incarnation of a worker's process; what ran in an earlier incarnation is gone.
+/// Incarnation of a worker, from one start of its process to the next. Runs do not survive it.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct WorkerIncarnation {
-    /// The node whose agent speaks for the worker; stays the same over all incarnations.
+    /// Node whose agent represents the worker; the same for all incarnations.
     pub node: NodeName,
-    /// The worker's name, which it may keep over a restart.
+    /// Name of the worker, which may stay the same after a restart.
     pub worker: WorkerName,
-    /// When this incarnation began by the worker's time of day, which tells incarnations of one name apart.
+    /// Unix time of the process start by the worker's clock, unique per incarnation of one name.
     pub started_at_unix_ms: u64,
 }
 
--- a/crates/yuccatack_runs/src/job.rs
+++ b/crates/yuccatack_runs/src/job.rs
@@ -1,4 +1,4 @@
-//! One accepted job.
+//! State of an accepted job.
 
 use std::collections::BTreeMap;
 
@@ -6,43 +6,43 @@
 
 use crate::command::{JobSubmission, RunEnd, RunOutcome};
 use crate::identity::RunId;
-use crate::progress::{Occurrence, keep_later};
+use crate::progress::{Occurrence, replace_older};
 use crate::spec::StepSpec;
 
-/// How far a job has come.
+/// Phase in the life cycle of a job.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// No task has begun.
+    /// No run has begun yet.
     Queued,
-    /// A task has begun.
+    /// At least one run has begun.
     Running,
-    /// All tasks are done.
+    /// All tasks of all occurrences have completed.
     Completed,
-    /// A task or gang failed too often.
+    /// A task or gang used up the maximum number of attempts.
     Failed,
-    /// A caller cancelled it.
+    /// A caller cancelled the job before it ended.
     Cancelled,
 }
 
 impl JobPhase {
-    /// Whether the job begins no more work.
+    /// Returns `true` if the job has ended and begins no more runs.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// An accepted job and its progress.
+/// Accepted job and its progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was accepted.
+    /// Job as it was accepted.
     pub submission: JobSubmission,
-    /// Its place in the order of acceptance.
+    /// Position in the order of acceptance, counted from 1.
     pub order: u64,
-    /// How far it has come.
+    /// Current phase of the job.
     pub phase: JobPhase,
-    /// The occurrences of which something has begun.
+    /// Occurrences with at least one run so far, by index.
     pub occurrences: BTreeMap<u32, Occurrence>,
-    /// When it ended, by the leader's time of day.
+    /// Unix time of the end, by the leader's clock; `None` until the job has ended.
     pub ended_at_unix_ms: Option<u64>,
 }
 
@@ -52,7 +52,7 @@
         Self { submission, order, phase, occurrences: BTreeMap::new(), ended_at_unix_ms: None }
     }
 
-    /// The description of a step.
+    /// Returns the specification of a step; `None` if the job has no such step.
     pub fn step_spec(&self, step: u32) -> Option<&StepSpec> {
         self.submission.spec.steps.get(step as usize)
     }
@@ -62,7 +62,8 @@
         self.ended_at_unix_ms = Some(now_unix_ms);
     }
 
-    /// Whether a run may begin now.
+    /// Returns `true` if a run may begin now: its step is ready, its task has neither completed nor
+    /// an open run, and its number is the next one.
     pub(crate) fn may_begin(&self, run: &RunId) -> bool {
         let task = &run.task;
         if self.phase.is_final() || task.occurrence >= self.submission.spec.occurrence_count() {
@@ -91,14 +92,14 @@
         self.phase = JobPhase::Running;
     }
 
-    /// Numbers a gang's run once all its members have begun.
-    pub(crate) fn close_gang_start(&mut self, run: &RunId) {
+    /// Records the run number of a gang once all its members have begun.
+    pub(crate) fn record_gang_start(&mut self, run: &RunId) {
         if let Some(occurrence) = self.occurrences.get_mut(&run.task.occurrence) {
             occurrence.steps[run.task.step as usize].gang.last_run = run.number;
         }
     }
 
-    pub(crate) fn note_end(&mut self, end: RunEnd, now_unix_ms: u64) {
+    pub(crate) fn record_end(&mut self, end: RunEnd, now_unix_ms: u64) {
         let RunEnd { run, outcome, checkpoint } = end;
         let Some(spec) = self.submission.spec.steps.get(run.task.step as usize) else { return };
         let (gang, long_running) = (spec.gang, spec.long_running);
@@ -106,11 +107,11 @@
         let step = &mut occurrence.steps[run.task.step as usize];
         let Some(task) = step.tasks.get_mut(run.task.index as usize) else { return };
         task.open_count = task.open_count.saturating_sub(1);
-        let held = if gang { &mut step.gang.checkpoint } else { &mut task.checkpoint };
-        keep_later(held, run.number, checkpoint);
+        let checkpoint_slot = if gang { &mut step.gang.checkpoint } else { &mut task.checkpoint };
+        replace_older(checkpoint_slot, run.number, checkpoint);
         match outcome {
             RunOutcome::Done if long_running => {}
-            // One end of a gang stands for all its members.
+            // The completion of one member counts for the whole gang.
             RunOutcome::Done if gang => step.tasks.iter_mut().for_each(|task| task.done = true),
             RunOutcome::Done => task.done = true,
             RunOutcome::Failed if long_running => {}
@@ -136,19 +137,20 @@
             | RunOutcome::WorkerLost => {}
         }
         if !self.phase.is_final() {
-            self.update_phase(now_unix_ms);
+            self.complete_if_done(now_unix_ms);
         }
     }
 
-    fn update_phase(&mut self, now_unix_ms: u64) {
+    fn complete_if_done(&mut self, now_unix_ms: u64) {
         let occurrence_count = self.submission.spec.occurrence_count();
-        let all_begun = self.occurrences.len() == occurrence_count as usize;
-        if all_begun && self.occurrences.values().all(Occurrence::is_done) {
+        let all_occurrences_begun = self.occurrences.len() == occurrence_count as usize;
+        if all_occurrences_begun && self.occurrences.values().all(Occurrence::is_done) {
             self.end(JobPhase::Completed, now_unix_ms);
         }
     }
 
-    /// Whether no task has begun work, as far as the table knows.
+    /// Returns `true` if the job has not ended, and no task is running, has failed or has
+    /// completed.
     pub fn is_waiting(&self) -> bool {
         let idle = |occurrence: &Occurrence| {
             let mut tasks = occurrence.steps.iter().flat_map(|step| &step.tasks);
--- a/crates/yuccatack_runs/src/lib.rs
+++ b/crates/yuccatack_runs/src/lib.rs
@@ -1,8 +1,8 @@
-//! Queued jobs, their tasks and the runs of these tasks on workers.
+//! Queued jobs, their tasks, and the runs of the tasks on workers.
 //!
 //! [`JobTable`] is replicated state: every replica applies the same commands in the same order. It
-//! says what was accepted, which runs may exist and what is known to have ended. Which run to begin
-//! next is decided elsewhere.
+//! holds the accepted jobs, the runs that may still be executing, and the ends of runs. The
+//! scheduling decisions are made in `yuccatack_dispatch`.
 
 mod command;
 mod identity;
--- a/crates/yuccatack_runs/src/progress.rs
+++ b/crates/yuccatack_runs/src/progress.rs
@@ -1,4 +1,4 @@
-//! How far the steps of an occurrence have come.
+//! Progress of the steps and tasks of an occurrence.
 
 use std::sync::Arc;
 
@@ -6,61 +6,61 @@
 
 use crate::spec::{JobSpec, StepSpec};
 
-/// Saved progress that a later run can resume from.
+/// Saved progress from which a later run can resume.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// The run that saved it; a later run's progress replaces that of an earlier one.
+    /// Number of the run that saved it; a checkpoint of a later run replaces it.
     pub run_number: u32,
-    /// The worker's name for it.
+    /// Identifier that the worker assigned; opaque to the scheduler.
     pub value: Arc<str>,
 }
 
-/// One occurrence of a job.
+/// Progress of one occurrence of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Occurrence {
-    /// Its steps.
+    /// Progress of each step, in the order of the specification.
     pub steps: Vec<StepProgress>,
 }
 
-/// One step of an occurrence.
+/// Progress of one step of an occurrence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepProgress {
-    /// Its tasks.
+    /// Progress of each task, by index.
     pub tasks: Vec<TaskProgress>,
-    /// What only a gang has; its runs begin and fail as a whole.
+    /// State that the members share; meaningful only if the step is a gang.
     pub gang: GangProgress,
 }
 
-/// What the members of a gang share.
+/// Progress of a gang, whose runs begin and fail as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GangProgress {
-    /// The number of the last run.
+    /// Number of the last run; 0 before the first one.
     pub last_run: u32,
-    /// How many runs failed.
+    /// Number of failed runs.
     pub failed_count: u32,
-    /// The last run that failed; several failing members of one run count once.
+    /// Number of the last failed run, so that several failing members of one run count once.
     pub last_failed_run: u32,
-    /// The progress that any member saved.
+    /// Latest checkpoint that any member saved.
     pub checkpoint: Option<Checkpoint>,
 }
 
-/// One task.
+/// Progress of one task.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskProgress {
-    /// Whether it is done.
+    /// Set once the task has completed.
     pub done: bool,
-    /// The number of its last run.
+    /// Number of the last run; 0 before the first one.
     pub last_run: u32,
-    /// How many runs failed.
+    /// Number of failed runs.
     pub failed_count: u32,
-    /// How many runs may exist.
+    /// Number of runs that have begun and are not known to have ended.
     pub open_count: u32,
-    /// The progress that it saved.
+    /// Latest checkpoint of the task.
     pub checkpoint: Option<Checkpoint>,
 }
 
 impl Occurrence {
-    /// An occurrence of which nothing has begun.
+    /// Creates an occurrence without any runs.
     pub fn new(spec: &JobSpec) -> Self {
         let step = |step: &StepSpec| StepProgress {
             tasks: vec![TaskProgress::default(); step.task_count as usize],
@@ -69,12 +69,12 @@
         Self { steps: spec.steps.iter().map(step).collect() }
     }
 
-    /// Whether every task is done.
+    /// Returns `true` if all tasks of all steps have completed.
     pub fn is_done(&self) -> bool {
         self.steps.iter().all(StepProgress::is_done)
     }
 
-    /// Whether all that `step` waits for is done.
+    /// Returns `true` if all predecessors of `step` have completed.
     pub fn is_ready(&self, step: &StepSpec) -> bool {
         step.after
             .iter()
@@ -83,17 +83,17 @@
 }
 
 impl StepProgress {
-    /// Whether every task is done.
+    /// Returns `true` if all tasks have completed.
     pub fn is_done(&self) -> bool {
         self.tasks.iter().all(|task| task.done)
     }
 
-    /// Whether a run of any task may exist.
+    /// Returns `true` if any task has an open run.
     pub fn has_open_run(&self) -> bool {
         self.tasks.iter().any(|task| task.open_count > 0)
     }
 
-    /// The number that the next run of a task gets.
+    /// Returns the number of the next run of a task.
     pub fn next_run(&self, spec: &StepSpec, index: u32) -> u32 {
         if spec.gang {
             return self.gang.last_run + 1;
@@ -101,7 +101,7 @@
         self.tasks.get(index as usize).map_or(1, |task| task.last_run + 1)
     }
 
-    /// The progress that the next run of a task resumes from.
+    /// Returns the checkpoint from which the next run of a task resumes, if there is one.
     pub fn checkpoint(&self, spec: &StepSpec, index: u32) -> Option<&Checkpoint> {
         if spec.gang {
             return self.gang.checkpoint.as_ref();
@@ -110,10 +110,15 @@
     }
 }
 
-/// Keeps the progress of the later run; a run that saved nothing keeps what it began from.
-pub(crate) fn keep_later(held: &mut Option<Checkpoint>, run_number: u32, value: Option<Arc<str>>) {
+/// Replaces the checkpoint unless a later run saved the current one. A run that saved nothing
+/// leaves it unchanged.
+pub(crate) fn replace_older(
+    current: &mut Option<Checkpoint>,
+    run_number: u32,
+    value: Option<Arc<str>>,
+) {
     let Some(value) = value else { return };
-    if held.as_ref().is_none_or(|checkpoint| checkpoint.run_number <= run_number) {
-        *held = Some(Checkpoint { run_number, value });
+    if current.as_ref().is_none_or(|checkpoint| checkpoint.run_number <= run_number) {
+        *current = Some(Checkpoint { run_number, value });
     }
 }
--- a/crates/yuccatack_runs/src/spec.rs
+++ b/crates/yuccatack_runs/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a caller submits.
+//! Specification of a job, as its caller submits it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,72 +7,73 @@
 use snafu::Snafu;
 use yuccatack_core::{DurationMs, Resources};
 
-/// The most tasks of all steps of one job; bounds the memory that one call can take.
-const TASK_COUNT_LIMIT: u64 = 20_000;
+/// Maximum number of tasks over all steps of a job. It bounds the memory that one call can take.
+const MAX_TASK_COUNT: u64 = 20_000;
 
-/// A job as its caller describes it.
+/// Specification of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// What the workers are told to run; opaque to the scheduler.
+    /// Document that workers get with each task; opaque to the scheduler.
     pub payload: Arc<str>,
-    /// The steps; each names only earlier ones as its predecessors.
+    /// Steps of the job; the predecessors of each step come before it.
     pub steps: Vec<StepSpec>,
-    /// When the steps run, for a job that runs them repeatedly.
+    /// Times at which the steps run; `None` runs them once, immediately.
     pub schedule: Option<Schedule>,
 }
 
-/// Times at which a job runs its steps.
+/// Schedule by which a job repeats its steps.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// When the first occurrence is due, by the time of day.
+    /// Unix time at which the first occurrence is due.
     pub first_at_unix_ms: u64,
-    /// The time from one occurrence to the next.
+    /// Interval between the due times of two occurrences.
     pub period_ms: DurationMs,
-    /// How many occurrences there are.
+    /// Total number of occurrences.
     pub occurrence_count: u32,
 }
 
-/// One step: equal tasks.
+/// Step of a job, consisting of equal tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepSpec {
-    /// How many tasks.
+    /// Number of tasks; at least 1 in a valid job.
     pub task_count: u32,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub demand: Resources,
-    /// A rough estimate of how long a task runs.
+    /// Rough estimate of the run time of a task.
     pub estimated_run_ms: DurationMs,
-    /// The earlier steps that must be done first.
+    /// Indexes of the earlier steps that must complete first.
     pub after: Vec<u32>,
-    /// Whether tasks save their progress and can resume from it.
+    /// Set if the tasks save checkpoints and can resume from them.
     pub checkpointing: bool,
-    /// Whether the tasks work only together.
+    /// Set if the tasks form a gang, which only makes progress while all of them run.
     pub gang: bool,
-    /// Whether the tasks slow down when they run on more than one rack.
+    /// Set if the tasks run slower when they are spread over several racks.
     pub rack_local: bool,
-    /// A label that the worker must have.
+    /// Label that a worker must have to run the tasks.
     pub required_label: Option<Arc<str>>,
-    /// The label of the rack that holds the data; tasks slow down elsewhere.
+    /// Label of the rack that holds the input data; the tasks run slower on other racks.
     pub data_rack: Option<Arc<str>>,
-    /// How many tasks of the step may run on one worker.
+    /// Maximum number of tasks of the step on one worker; `None` for no limit.
     pub tasks_per_worker: Option<u32>,
-    /// Whether copies of a task may run at the same time.
+    /// Set if several copies of a task may run at the same time.
     pub speculative: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Set if the tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of the same image behave alike.
     pub image: Option<Arc<str>>,
-    /// The bound of the tail latency of tasks that serve users.
+    /// Upper bound on the tail latency, for tasks that serve users.
     pub latency_target_ms: Option<DurationMs>,
-    /// Whether the tasks use only the processor time that others leave.
+    /// Set if the tasks only use CPU time that others leave idle, so that they occupy no cores.
     #[serde(rename = "fills")]
     pub uses_idle_cpu: bool,
-    /// How many tasks of a long-running step planned work may take away at once.
+    /// Number of tasks of a long-running step that planned maintenance may make unavailable at
+    /// once; `None` if the job does not say.
     #[serde(rename = "unavailable_limit")]
     pub max_unavailable_count: Option<u32>,
 }
 
 impl fmt::Display for JobSpec {
-    /// A short form for logs: the steps, separated by commas.
+    /// Writes a short form for logs: the steps, separated by commas.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (number, step) in self.steps.iter().enumerate() {
             if number > 0 {
@@ -85,7 +86,8 @@
 }
 
 impl fmt::Display for StepSpec {
-    /// A short form for logs: tasks, what one needs, its estimated length, and what it demands.
+    /// Writes a short form for logs: the number of tasks, the resources and estimated run time of
+    /// each, and the properties that are set.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
@@ -95,7 +97,7 @@
             self.demand.cores_milli,
             self.estimated_run_ms.get(),
         )?;
-        let marks = [
+        let flags = [
             (self.gang, " gang"),
             (self.rack_local, " rack_local"),
             (self.checkpointing, " checkpointing"),
@@ -106,69 +108,70 @@
             (self.long_running, " long_running"),
             (self.uses_idle_cpu, " fills"),
         ];
-        marks.iter().filter(|(set, _)| *set).try_for_each(|(_, mark)| formatter.write_str(mark))
+        flags.iter().filter(|(set, _)| *set).try_for_each(|(_, flag)| formatter.write_str(flag))
     }
 }
 
-/// Why a job is refused.
+/// Reason why a job is invalid.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum JobSpecError {
-    /// There is nothing to run.
+    /// The job has no steps, or a step has no tasks.
     #[snafu(display("the job has no tasks; add a step with at least one task"))]
     Empty,
-    /// Too much for one job.
-    #[snafu(display("the job has {count} tasks, more than {TASK_COUNT_LIMIT}; split it"))]
+    /// The number of tasks exceeds the limit.
+    #[snafu(display("the job has {count} tasks, more than {MAX_TASK_COUNT}; split it"))]
     TooManyTasks {
-        /// How many it has.
+        /// Number of tasks over all steps.
         count: u64,
     },
-    /// A step waits for itself or a later one.
+    /// A step depends on itself or on a later step.
     #[snafu(display("step {step} waits for step {after}; name only earlier steps"))]
-    WrongOrder {
-        /// The step.
+    ForwardDependency {
+        /// Index of the dependent step.
         step: u32,
-        /// What it waits for.
+        /// Index of the step that it depends on.
         after: u32,
     },
 }
 
 impl JobSpec {
-    /// Finds the first reason to refuse the job.
+    /// Checks the specification and returns the first problem found.
     pub fn validate(&self) -> Result<(), JobSpecError> {
         let count: u64 = self.steps.iter().map(|step| u64::from(step.task_count)).sum();
         if count == 0 || self.steps.iter().any(|step| step.task_count == 0) {
             return Err(JobSpecError::Empty);
         }
-        if count > TASK_COUNT_LIMIT {
+        if count > MAX_TASK_COUNT {
             return Err(JobSpecError::TooManyTasks { count });
         }
         for (step, spec) in (0u32..).zip(&self.steps) {
             if let Some(after) = spec.after.iter().find(|after| **after >= step) {
-                return Err(JobSpecError::WrongOrder { step, after: *after });
+                return Err(JobSpecError::ForwardDependency { step, after: *after });
             }
         }
         Ok(())
     }
 
-    /// How many times the steps run.
+    /// Returns the number of times that the steps run; 1 without a schedule.
     pub fn occurrence_count(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.occurrence_count)
     }
 
-    /// When an occurrence is due by the time of day; nothing for a job that is not scheduled.
+    /// Returns the Unix time at which an occurrence is due; `None` for a job without a schedule.
     pub fn due_at_unix_ms(&self, occurrence: u32) -> Option<u64> {
         let schedule = self.schedule?;
         let offset_ms = schedule.period_ms.get().saturating_mul(u64::from(occurrence));
         Some(schedule.first_at_unix_ms.saturating_add(offset_ms))
     }
 
-    /// The estimated length of the longest chain of steps.
+    /// Returns the estimated run time of the longest chain of dependent steps.
     pub fn longest_chain_ms(&self) -> DurationMs {
         let mut ends_ms: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let previous = step.after.iter().filter_map(|after| ends_ms.get(*after as usize));
-            let begins_ms = previous.copied().max().unwrap_or(0);
-            ends_ms.push(begins_ms + step.estimated_run_ms.get());
+            let predecessor_ends_ms =
+                step.after.iter().filter_map(|after| ends_ms.get(*after as usize));
+            let begin_ms = predecessor_ends_ms.copied().max().unwrap_or(0);
+            ends_ms.push(begin_ms + step.estimated_run_ms.get());
         }
         DurationMs::new(ends_ms.into_iter().max().unwrap_or(0))
     }
--- a/crates/yuccatack_runs/src/table.rs
+++ b/crates/yuccatack_runs/src/table.rs
@@ -1,4 +1,4 @@
-//! All accepted jobs and the runs that may exist.
+//! Replicated table of accepted jobs and their open runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,34 +9,34 @@
 use crate::identity::{RunId, TaskId, WorkerIncarnation};
 use crate::job::{Job, JobPhase};
 
-/// A run that was begun and is not known to have ended.
+/// Run that has begun and is not known to have ended.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct OpenRun {
-    /// Where it runs.
+    /// Incarnation of the worker that executes the run.
     #[serde(rename = "life")]
     pub incarnation: WorkerIncarnation,
-    /// What it occupies there.
+    /// Resources that the run occupies on the worker.
     pub demand: Resources,
 }
 
-/// The replicated table of jobs.
+/// Replicated table of jobs and their open runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredTable")]
 pub struct JobTable {
     jobs: BTreeMap<JobName, Job>,
     #[serde(with = "pairs")]
     runs: BTreeMap<RunId, OpenRun>,
-    /// The open runs by the incarnation that they are on, made from `runs`.
+    /// Index of the open runs by incarnation, derived from `runs`.
     #[serde(skip)]
     runs_by_incarnation: BTreeMap<WorkerIncarnation, BTreeSet<RunId>>,
-    /// The last end of each worker's incarnation that is in the table.
+    /// Highest number of a run end per incarnation up to which the table holds all ends.
     #[serde(rename = "noted_ends")]
     #[serde(with = "pairs")]
     acknowledged_ends: BTreeMap<WorkerIncarnation, u64>,
     next_order: u64,
 }
 
-/// The table as a snapshot holds it.
+/// Serialized form of the table, without the derived index.
 #[derive(Deserialize)]
 struct StoredTable {
     jobs: BTreeMap<JobName, Job>,
@@ -60,7 +60,7 @@
 }
 
 impl JobTable {
-    /// Stores a job, unless its name is stored already.
+    /// Stores a job, unless one of the same name is stored.
     pub fn submit(&mut self, submission: JobSubmission) -> SubmitOutcome {
         if self.jobs.contains_key(&submission.name) {
             return SubmitOutcome::AlreadyStored;
@@ -71,7 +71,7 @@
         SubmitOutcome::Accepted
     }
 
-    /// Lets a job begin no more work. Its open runs stay until they are known to have ended.
+    /// Cancels a job, so that it begins no more runs. Open runs stay until their end is recorded.
     pub fn cancel(&mut self, name: &JobName, now_unix_ms: u64) -> CancelOutcome {
         let Some(job) = self.jobs.get_mut(name) else { return CancelOutcome::NotFound };
         if job.phase.is_final() {
@@ -81,7 +81,8 @@
         CancelOutcome::Cancelled
     }
 
-    /// Begins the runs of one group, or none of them if one may not begin any more.
+    /// Begins all runs of a group. Returns `false` and begins none if one of them may not begin any
+    /// more, or if the group is empty.
     pub fn begin(&mut self, group: &[RunStart]) -> bool {
         let may_begin = |start: &RunStart| {
             self.jobs.get(&start.run.task.job).is_some_and(|job| job.may_begin(&start.run))
@@ -98,42 +99,44 @@
                 demand: demand.unwrap_or_default(),
             };
             self.runs.insert(start.run.clone(), open);
-            let of_incarnation =
+            let runs_on_incarnation =
                 self.runs_by_incarnation.entry(start.incarnation.clone()).or_default();
-            of_incarnation.insert(start.run.clone());
+            runs_on_incarnation.insert(start.run.clone());
         }
         if let Some(start) = group.first()
             && let Some(job) = self.jobs.get_mut(&start.run.task.job)
         {
-            job.close_gang_start(&start.run);
+            job.record_gang_start(&start.run);
         }
         true
     }
 
-    /// Notes how a run ended; an end of a run that is not open changes nothing.
+    /// Records the end of a run. Returns `false` and changes nothing if the run is not open.
     pub fn end(&mut self, end: RunEnd, now_unix_ms: u64) -> bool {
         let Some(open) = self.runs.remove(&end.run) else { return false };
-        if let Some(of_incarnation) = self.runs_by_incarnation.get_mut(&open.incarnation) {
-            of_incarnation.remove(&end.run);
-            if of_incarnation.is_empty() {
+        if let Some(runs_on_incarnation) = self.runs_by_incarnation.get_mut(&open.incarnation) {
+            runs_on_incarnation.remove(&end.run);
+            if runs_on_incarnation.is_empty() {
                 self.runs_by_incarnation.remove(&open.incarnation);
             }
         }
         if let Some(job) = self.jobs.get_mut(&end.run.task.job) {
-            job.note_end(end, now_unix_ms);
+            job.record_end(end, now_unix_ms);
         }
         true
     }
 
-    /// Remembers up to which number the ends of a worker's incarnation are in the table.
+    /// Records that the table holds all run ends of an incarnation up to `number`, and drops the
+    /// numbers of other incarnations on the same node.
     pub fn acknowledge_ends(&mut self, incarnation: &WorkerIncarnation, number: u64) {
-        self.acknowledged_ends
-            .retain(|noted, _| noted.node != incarnation.node || noted == incarnation);
-        let noted = self.acknowledged_ends.entry(incarnation.clone()).or_default();
-        *noted = number.max(*noted);
+        self.acknowledged_ends.retain(|acknowledged, _| {
+            acknowledged.node != incarnation.node || acknowledged == incarnation
+        });
+        let acknowledged = self.acknowledged_ends.entry(incarnation.clone()).or_default();
+        *acknowledged = number.max(*acknowledged);
     }
 
-    /// Drops ended jobs; nobody asks for them any more.
+    /// Removes those of the jobs that have ended and have no open runs.
     pub fn remove_ended(&mut self, names: &[JobName]) {
         for name in names {
             let ended = self.jobs.get(name).is_some_and(|job| job.phase.is_final());
@@ -143,22 +146,22 @@
         }
     }
 
-    /// A job by name.
+    /// Returns the job of this name.
     pub fn job(&self, name: &JobName) -> Option<&Job> {
         self.jobs.get(name)
     }
 
-    /// All jobs.
+    /// Iterates over all jobs, in the order of their names.
     pub fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// All runs that may exist.
+    /// Returns all runs that have begun and are not known to have ended.
     pub fn open_runs(&self) -> &BTreeMap<RunId, OpenRun> {
         &self.runs
     }
 
-    /// The runs that may exist of the same run of a gang, `run` among them.
+    /// Iterates over the open members of the gang run that `run` belongs to, including `run`.
     pub fn gang_members(&self, run: &RunId) -> impl Iterator<Item = &RunId> {
         let member = |index| RunId { task: TaskId { index, ..run.task.clone() }, ..run.clone() };
         let number = run.number;
@@ -168,24 +171,24 @@
             .filter(move |member| member.number == number)
     }
 
-    /// The runs that may exist on one incarnation of a worker.
+    /// Iterates over the open runs on one incarnation of a worker.
     pub fn runs_on(&self, incarnation: &WorkerIncarnation) -> impl Iterator<Item = &RunId> {
         self.runs_by_incarnation.get(incarnation).into_iter().flatten()
     }
 
-    /// Up to which number the ends of a worker's incarnation are in the table.
+    /// Returns the number up to which the table holds all run ends of an incarnation; 0 if none.
     pub fn acknowledged_end(&self, incarnation: &WorkerIncarnation) -> u64 {
         self.acknowledged_ends.get(incarnation).copied().unwrap_or(0)
     }
 
-    /// How many jobs of a queue have not begun any work.
+    /// Returns the number of jobs of a queue that wait to begin their work.
     pub fn waiting_count(&self, queue: &QueueName) -> usize {
-        let waits = |job: &&Job| job.submission.queue == *queue && job.is_waiting();
-        self.jobs.values().filter(waits).count()
+        let waits_in_queue = |job: &&Job| job.submission.queue == *queue && job.is_waiting();
+        self.jobs.values().filter(waits_in_queue).count()
     }
 }
 
-/// Encodes maps with composite keys as lists of pairs.
+/// Serialization of maps with composite keys as lists of pairs.
 mod pairs {
     use std::collections::BTreeMap;
 
--- a/crates/yuccatack_runs/tests/job_progress.rs
+++ b/crates/yuccatack_runs/tests/job_progress.rs
@@ -1,5 +1,5 @@
-//! Guards against lost and doubled work in the replicated table: a job stored twice, a run begun
-//! beside another one, a gang begun in part, and attempts counted wrongly.
+//! Guards against lost and duplicated work in the replicated table: a job stored twice, two open
+//! runs of one task, a gang begun only in part, and miscounted attempts.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn stored_once() {
+fn duplicate_not_stored() {
     let mut table = table(vec![step(1, false, &[])]);
     let other = submission(vec![step(9, false, &[])], None);
     assert_eq!(table.submit(other), SubmitOutcome::AlreadyStored);
@@ -72,49 +72,59 @@
 }
 
 #[test]
-fn one_open_run() {
+fn single_open_run() {
     let mut table = table(vec![step(1, false, &[])]);
     assert!(table.begin(&[start(run(0, 0, 1))]));
-    assert!(!table.begin(&[start(run(0, 0, 2))]), "a second run began beside the first");
+    assert!(
+        !table.begin(&[start(run(0, 0, 2))]),
+        "a second run of the task began while the first was open"
+    );
     assert!(table.end(end(run(0, 0, 1), RunOutcome::WorkerLost), NOW_UNIX_MS));
-    assert!(!table.end(end(run(0, 0, 1), RunOutcome::Done), NOW_UNIX_MS), "ended twice");
-    assert!(!table.begin(&[start(run(0, 0, 1))]), "a number was used twice");
+    assert!(
+        !table.end(end(run(0, 0, 1), RunOutcome::Done), NOW_UNIX_MS),
+        "the same run ended twice"
+    );
+    assert!(!table.begin(&[start(run(0, 0, 1))]), "a run number was used twice");
     assert!(table.begin(&[start(run(0, 0, 2))]));
     table.end(end(run(0, 0, 2), RunOutcome::Done), NOW_UNIX_MS);
     assert_eq!(phase(&table), JobPhase::Completed);
-    assert!(!table.begin(&[start(run(0, 0, 3))]), "a done task began again");
+    assert!(!table.begin(&[start(run(0, 0, 3))]), "a completed task began again");
 }
 
 #[test]
-fn order_kept() {
+fn step_order_enforced() {
     let mut table = table(vec![step(2, false, &[]), step(1, false, &[0])]);
     assert!(table.begin(&[start(run(0, 0, 1))]));
     table.end(end(run(0, 0, 1), RunOutcome::Done), NOW_UNIX_MS);
-    assert!(!table.begin(&[start(run(1, 0, 1))]), "began before its predecessor was done");
+    assert!(!table.begin(&[start(run(1, 0, 1))]), "a step began before its predecessor completed");
     assert!(table.begin(&[start(run(0, 1, 1))]));
     table.end(end(run(0, 1, 1), RunOutcome::Done), NOW_UNIX_MS);
     assert!(table.begin(&[start(run(1, 0, 1))]));
 }
 
 #[test]
-fn gang_whole() {
+fn gang_atomic() {
     let mut table = table(vec![step(2, true, &[])]);
     let members = [start(run(0, 0, 1)), start(run(0, 1, 1))];
     let wrong_number = [start(run(0, 0, 1)), start(run(0, 1, 2))];
-    assert!(!table.begin(&wrong_number), "a gang began in part");
+    assert!(!table.begin(&wrong_number), "a gang began with different run numbers");
     assert!(table.open_runs().is_empty());
     assert!(table.begin(&members));
-    // Both members fail in the same run, which is one attempt.
+    // Both members fail in the same run, which counts as one attempt.
     table.end(end(run(0, 0, 1), RunOutcome::Failed), NOW_UNIX_MS);
     table.end(end(run(0, 1, 1), RunOutcome::Failed), NOW_UNIX_MS);
     assert_eq!(phase(&table), JobPhase::Running);
     assert!(table.begin(&[start(run(0, 0, 2)), start(run(0, 1, 2))]));
     table.end(end(run(0, 0, 2), RunOutcome::Done), NOW_UNIX_MS);
-    assert_eq!(phase(&table), JobPhase::Completed, "one end stands for the whole gang");
+    assert_eq!(
+        phase(&table),
+        JobPhase::Completed,
+        "one completed member did not complete the gang"
+    );
 }
 
 #[test]
-fn attempts_counted() {
+fn only_failures_counted() {
     let mut table = table(vec![step(1, false, &[])]);
     let outcomes = [
         RunOutcome::Failed,
@@ -135,12 +145,12 @@
 }
 
 #[test]
-fn cancelled_stays() {
+fn cancellation_final() {
     let name = JobName::new("job").unwrap();
     let mut table = table(vec![step(2, false, &[])]);
     assert!(table.begin(&[start(run(0, 0, 1))]));
     assert_eq!(table.cancel(&name, NOW_UNIX_MS), CancelOutcome::Cancelled);
-    assert!(!table.begin(&[start(run(0, 1, 1))]), "a cancelled job began work");
+    assert!(!table.begin(&[start(run(0, 1, 1))]), "a cancelled job began a run");
     table.end(end(run(0, 0, 1), RunOutcome::Done), NOW_UNIX_MS);
     assert_eq!(phase(&table), JobPhase::Cancelled);
     assert_eq!(table.cancel(&name, NOW_UNIX_MS), CancelOutcome::AlreadyEnded);
@@ -148,7 +158,7 @@
 }
 
 #[test]
-fn later_progress_kept() {
+fn latest_checkpoint_kept() {
     let checkpointing = StepSpec { checkpointing: true, ..step(1, false, &[]) };
     let mut table = table(vec![checkpointing]);
     let saved = |value: &str| Some(Arc::from(value));
@@ -157,14 +167,14 @@
         let run = run(0, 0, number);
         table.end(RunEnd { run, outcome: RunOutcome::Stopped, checkpoint }, NOW_UNIX_MS);
         let job = table.jobs().next().unwrap();
-        let held = job.occurrences[&0].steps[0].checkpoint(&job.submission.spec.steps[0], 0);
+        let latest = job.occurrences[&0].steps[0].checkpoint(&job.submission.spec.steps[0], 0);
         let expected = if number < 3 { "a" } else { "b" };
-        assert_eq!(&*held.unwrap().value, expected);
+        assert_eq!(&*latest.unwrap().value, expected);
     }
 }
 
 #[test]
-fn all_occurrences_needed() {
+fn all_occurrences_required() {
     let schedule = Schedule {
         first_at_unix_ms: NOW_UNIX_MS,
         period_ms: DurationMs::new(100),
@@ -185,14 +195,14 @@
 }
 
 #[test]
-fn senseless_jobs_refused() {
+fn invalid_specs_refused() {
     let spec = |steps| JobSpec { payload: Arc::from(""), steps, schedule: None };
     assert_eq!(spec(vec![]).validate(), Err(JobSpecError::Empty));
     assert_eq!(spec(vec![step(0, false, &[])]).validate(), Err(JobSpecError::Empty));
-    let endless = spec(vec![step(1, false, &[0])]);
-    assert_eq!(endless.validate(), Err(JobSpecError::WrongOrder { step: 0, after: 0 }));
-    let large = spec(vec![step(u32::MAX, false, &[])]);
-    assert!(matches!(large.validate(), Err(JobSpecError::TooManyTasks { .. })));
+    let cyclic = spec(vec![step(1, false, &[0])]);
+    assert_eq!(cyclic.validate(), Err(JobSpecError::ForwardDependency { step: 0, after: 0 }));
+    let oversized = spec(vec![step(u32::MAX, false, &[])]);
+    assert!(matches!(oversized.validate(), Err(JobSpecError::TooManyTasks { .. })));
 }
 
 #[test]
@@ -203,5 +213,9 @@
     table.begin(&[start(run(0, 0, 1))]);
     assert_eq!(table.waiting_count(&queue), 0);
     table.end(end(run(0, 0, 1), RunOutcome::NeverBegan), NOW_UNIX_MS);
-    assert_eq!(table.waiting_count(&queue), 1, "a run that never began counted as work");
+    assert_eq!(
+        table.waiting_count(&queue),
+        1,
+        "a job whose run never began no longer counts as waiting"
+    );
 }
--- a/crates/yuccatack_runs/tests/task_names.rs
+++ b/crates/yuccatack_runs/tests/task_names.rs
@@ -1,4 +1,4 @@
-//! Guards against ends that are credited to another task than the one they name.
+//! Guards against a run end that is applied to the wrong task because its identifier was misread.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn other_texts_refused() {
+fn malformed_names_refused() {
     for text in ["", "a", "a.0.1", "a.0.1.2.3", "a.0.x.2", "a.0.-1.2", ".0.1.2", "a b.0.1.2"] {
-        assert!(text.parse::<TaskId>().is_err(), "`{text}` was read");
+        assert!(text.parse::<TaskId>().is_err(), "`{text}` was accepted as a task identifier");
     }
 }
