--- a/crates/yuccatack_queues/src/configuration.rs
+++ b/crates/yuccatack_queues/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The types of a configuration.
+//! Types of the platform configuration.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,19 +6,19 @@
 use serde::{Deserialize, Serialize};
 use yuccatack_core::{DurationMs, OrganisationName, QueueName, ServiceName};
 
-/// The operator's number of a configuration; the highest one is in force.
+/// Version number that the operator assigns to a configuration; the highest one is in force.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct ConfigurationVersion(u64);
 
 impl ConfigurationVersion {
-    /// Wraps the raw number.
+    /// Creates a version from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The raw number.
+    /// Returns the version as a number.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -30,80 +30,81 @@
     }
 }
 
-/// A secret that proves to which organisation a caller belongs.
+/// Secret key that identifies the organisation of a caller.
 #[derive(Clone, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct AccessKey(Arc<str>);
 
 impl AccessKey {
-    /// Shares `text`.
+    /// Creates a key from its text.
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
     }
 }
 
 impl fmt::Debug for AccessKey {
-    /// Secrets stay out of logs.
+    /// Writes a placeholder, so that secrets do not appear in logs.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("AccessKey(..)")
     }
 }
 
-/// A whole configuration.
+/// Complete configuration of the platform.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its number.
+    /// Version of this configuration.
     pub version: ConfigurationVersion,
-    /// The queues.
+    /// Queues to which callers submit jobs.
     pub queues: Vec<Queue>,
-    /// The pools of workers.
+    /// Pools of workers that run the jobs.
     pub services: Vec<Service>,
-    /// The tenants.
+    /// Organisations whose callers have keys.
     pub organisations: Vec<Organisation>,
-    /// The document as the operator sent it, which a read gives back.
+    /// Document as the operator sent it, returned unchanged when the configuration is read.
     pub document: Arc<str>,
 }
 
-/// A queue: where callers submit jobs, and how urgent these are.
+/// Queue to which callers submit jobs, with the terms that apply to them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue, to which accepted jobs refer.
     pub name: QueueName,
-    /// The host that callers address.
+    /// Host name that callers address.
     pub host: Arc<str>,
-    /// What the path of a call begins with; the rest is the name of a job.
+    /// Prefix of the path of a call; the rest of the path is the name of a job.
     pub path_prefix: Arc<str>,
-    /// The pool whose workers run the jobs.
+    /// Pool whose workers run the jobs.
     pub service: ServiceName,
-    /// 0 comes first and may preempt others.
+    /// Priority of the jobs; 0 is the most urgent and may preempt others.
     pub priority: u32,
-    /// How many failed runs of a task or gang fail its job.
+    /// Number of failed runs of one task or gang after which its job fails.
     pub max_attempts: u32,
-    /// The objective of a job is this many times its longest chain of work, and the allowance.
+    /// Stretch of a job's objective, which is `stretch` times its longest chain of steps, plus
+    /// `allowance_ms`.
     pub stretch: f64,
-    /// What a job may take beyond its stretched work.
+    /// Time that the objective of a job allows beyond its stretched chain of steps.
     pub allowance_ms: DurationMs,
-    /// How long one call may take.
+    /// Time limit of one call; at least 1 ms.
     pub call_timeout_ms: DurationMs,
-    /// Whether calls need no key.
+    /// Set if calls need no key.
     pub public: bool,
 }
 
-/// A pool of workers.
+/// Pool of workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name by which queues refer to the pool.
     pub name: ServiceName,
-    /// Whether the workers themselves refuse what does not fit.
+    /// Set if the workers themselves refuse tasks that do not fit.
     pub admission_control: bool,
 }
 
-/// A tenant.
+/// Tenant of the platform, with its access keys and guaranteed accelerators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name.
+    /// Name under which the jobs of the organisation are recorded.
     pub name: OrganisationName,
-    /// The keys of its callers.
+    /// Keys of the organisation's callers; no other organisation has them.
     pub keys: Vec<AccessKey>,
-    /// Accelerators that belong to its most urgent jobs at all times.
+    /// Number of accelerators that are guaranteed to the organisation's most urgent jobs.
     pub guaranteed_accelerator_count: u32,
 }
--- a/crates/yuccatack_queues/src/lib.rs
+++ b/crates/yuccatack_queues/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform configuration: which queues exist, whom they serve and where their jobs run.
+//! Platform configuration: queues, the organisations they serve, and the pools that run their jobs.
 //!
 //! The operator sends the configuration as a whole. The highest version is in force; a version
-//! that is not higher is acknowledged and changes nothing. Nothing here does I/O.
+//! that is not higher is acknowledged and changes nothing. This crate performs no I/O.
 
 mod configuration;
 mod store;
--- a/crates/yuccatack_queues/src/store.rs
+++ b/crates/yuccatack_queues/src/store.rs
@@ -1,4 +1,4 @@
-//! The configuration in force.
+//! Store of the configuration in force.
 
 use std::sync::Arc;
 
@@ -7,30 +7,30 @@
 
 use crate::configuration::{AccessKey, Configuration, ConfigurationVersion, Organisation, Queue};
 
-/// What became of a valid configuration.
+/// Outcome of submitting a valid configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum Acceptance {
-    /// It is in force.
+    /// The configuration is now in force.
     InForce,
-    /// A version at least as high was in force already; nothing changed.
+    /// A version at least as high was already in force; nothing changed.
     Superseded {
-        /// The version in force.
+        /// Version that stays in force.
         by: ConfigurationVersion,
     },
 }
 
-/// What a call may use.
+/// Queue and organisation of an authorised call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Access<'a> {
-    /// The queue that the call addresses.
+    /// Queue that the call addresses.
     pub queue: &'a Queue,
-    /// The organisation of its key; nothing on a public queue without a known key.
+    /// Organisation of the key; `None` for a call to a public queue without a known key.
     pub organisation: Option<&'a OrganisationName>,
-    /// What follows the queue's prefix.
+    /// Rest of the path after the queue's prefix.
     pub remainder: &'a str,
 }
 
-/// Why a call is refused.
+/// Reason why a call is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum AccessError {
     /// No configuration has arrived yet.
@@ -41,14 +41,14 @@
     UnknownKey,
 }
 
-/// Holds the configuration in force.
+/// Store of the configuration in force.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ConfigurationStore {
     current: Option<Arc<Configuration>>,
 }
 
 impl ConfigurationStore {
-    /// Takes a valid configuration if its version is higher than the one in force.
+    /// Puts a valid configuration in force if its version is higher than the current one.
     pub fn accept(&mut self, configuration: Arc<Configuration>) -> Acceptance {
         match &self.current {
             Some(current) if current.version >= configuration.version => {
@@ -61,12 +61,12 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` before the first one.
     pub fn current(&self) -> Option<&Arc<Configuration>> {
         self.current.as_ref()
     }
 
-    /// The version in force; 0 before the first configuration.
+    /// Returns the version in force; 0 before the first configuration.
     pub fn version(&self) -> ConfigurationVersion {
         self.current.as_ref().map_or_else(Default::default, |current| current.version)
     }
@@ -93,12 +93,13 @@
         Ok(Access { queue, organisation, remainder: &path[queue.path_prefix.len()..] })
     }
 
-    /// A queue by name.
+    /// Returns the queue of this name.
     pub fn queue(&self, name: &QueueName) -> Option<&Queue> {
         self.current.as_deref()?.queues.iter().find(|queue| queue.name == *name)
     }
 
-    /// How many accelerators belong to the most urgent jobs of an organisation.
+    /// Returns the number of accelerators that are guaranteed to the most urgent jobs of an
+    /// organisation; 0 for an unknown organisation.
     pub fn guaranteed_accelerator_count(&self, name: &OrganisationName) -> u32 {
         let organisations = self.current.iter().flat_map(|current| &current.organisations);
         organisations
--- a/crates/yuccatack_queues/src/validation.rs
+++ b/crates/yuccatack_queues/src/validation.rs
@@ -1,47 +1,47 @@
-//! What makes a configuration invalid.
+//! Validation of configurations.
 
 use snafu::Snafu;
 use yuccatack_core::{FastHashMap, FastHashSet, OrganisationName, QueueName, ServiceName};
 
 use crate::configuration::{AccessKey, Configuration};
 
-/// Why a configuration is refused.
+/// Reason why a configuration is invalid.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum ConfigurationError {
-    /// A queue names a service that is not there.
+    /// A queue refers to a service that the configuration does not contain.
     #[snafu(display("queue `{queue}` names the unknown service `{service}`; add the service"))]
     UnknownService {
-        /// The queue.
+        /// Queue with the reference.
         queue: QueueName,
-        /// The service.
+        /// Service that is missing.
         service: ServiceName,
     },
-    /// Two queues cannot be told apart by host and prefix.
+    /// Two queues have the same host and path prefix, so calls cannot be routed.
     #[snafu(display("queues `{first}` and `{second}` share host and prefix; change one of them"))]
-    SamePlace {
-        /// One queue.
+    DuplicateRoute {
+        /// Queue that comes first in the configuration.
         first: QueueName,
-        /// The other queue.
+        /// Queue with the same host and prefix.
         second: QueueName,
     },
-    /// A queue leaves its calls no time.
+    /// A queue has a call time-out of zero.
     #[snafu(display("queue `{queue}` has a timeout of 0; set at least 1 ms"))]
-    NoTimeout {
-        /// The queue.
+    ZeroTimeout {
+        /// Queue with the time-out.
         queue: QueueName,
     },
     /// Two organisations share a key.
     #[snafu(display("organisations `{first}` and `{second}` share a key; issue a new one"))]
     SharedKey {
-        /// One organisation.
+        /// Organisation that comes first in the configuration.
         first: OrganisationName,
-        /// The other organisation.
+        /// Organisation with the same key.
         second: OrganisationName,
     },
 }
 
 impl Configuration {
-    /// Finds the first reason to refuse the configuration.
+    /// Checks the configuration and returns the first problem found.
     pub fn validate(&self) -> Result<(), ConfigurationError> {
         self.validate_queues()?;
         self.validate_keys()
@@ -50,7 +50,7 @@
     fn validate_queues(&self) -> Result<(), ConfigurationError> {
         let services: FastHashSet<&ServiceName> =
             self.services.iter().map(|service| &service.name).collect();
-        let mut places = FastHashMap::default();
+        let mut routes = FastHashMap::default();
         for queue in &self.queues {
             let name = queue.name.clone();
             if !services.contains(&queue.service) {
@@ -58,11 +58,11 @@
                 return Err(ConfigurationError::UnknownService { queue: name, service });
             }
             if queue.call_timeout_ms.get() == 0 {
-                return Err(ConfigurationError::NoTimeout { queue: name });
+                return Err(ConfigurationError::ZeroTimeout { queue: name });
             }
-            if let Some(first) = places.insert((&queue.host, &queue.path_prefix), &queue.name) {
+            if let Some(first) = routes.insert((&queue.host, &queue.path_prefix), &queue.name) {
                 let first = first.clone();
-                return Err(ConfigurationError::SamePlace { first, second: name });
+                return Err(ConfigurationError::DuplicateRoute { first, second: name });
             }
         }
         Ok(())
--- a/crates/yuccatack_queues/tests/version_order.rs
+++ b/crates/yuccatack_queues/tests/version_order.rs
@@ -1,4 +1,5 @@
-//! Guards against a configuration that goes back to an older version or lets a wrong caller in.
+//! Guards against a configuration that reverts to an older version, and against access by callers
+//! without a valid key.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn highest_wins() {
+fn highest_version_wins() {
     let mut store = ConfigurationStore::default();
     assert_eq!(store.accept(Arc::new(configuration(7))), Acceptance::InForce);
     let superseded = Acceptance::Superseded { by: ConfigurationVersion::new(7) };
@@ -78,12 +79,12 @@
     assert_eq!(valid.validate(), Ok(()));
     let no_services = Configuration { services: Vec::new(), ..valid.clone() };
     assert!(matches!(no_services.validate(), Err(ConfigurationError::UnknownService { .. })));
-    let same_place =
+    let duplicate_route =
         Configuration { queues: vec![queue("q", "/a/"), queue("r", "/a/")], ..valid.clone() };
-    assert!(matches!(same_place.validate(), Err(ConfigurationError::SamePlace { .. })));
-    let mut no_timeout = valid.clone();
-    no_timeout.queues[0].call_timeout_ms = DurationMs::ZERO;
-    assert!(matches!(no_timeout.validate(), Err(ConfigurationError::NoTimeout { .. })));
+    assert!(matches!(duplicate_route.validate(), Err(ConfigurationError::DuplicateRoute { .. })));
+    let mut zero_timeout = valid.clone();
+    zero_timeout.queues[0].call_timeout_ms = DurationMs::ZERO;
+    assert!(matches!(zero_timeout.validate(), Err(ConfigurationError::ZeroTimeout { .. })));
     let shared = vec![organisation("one", "k"), organisation("two", "k")];
     let shared_key = Configuration { organisations: shared, ..valid };
     assert!(matches!(shared_key.validate(), Err(ConfigurationError::SharedKey { .. })));
