--- a/crates/yuccatack_entry/src/balancer/actor.rs
+++ b/crates/yuccatack_entry/src/balancer/actor.rs
@@ -5,8 +5,8 @@
 
 use tokio::sync::{mpsc, oneshot};
 use yuccatack_admission::{
-    FairQueue, OrganisationLimits, QueueLimits, QueuedRequest, QuotaRefusal, QuotaTable,
-    RetryBudget, RetryBudgetSettings, Taken,
+    Dequeued, FairQueue, OrganisationLimits, QueueLimits, QueuedRequest, QuotaRefusal, QuotaTable,
+    RetryBudget, RetryBudgetSettings,
 };
 use yuccatack_core::prelude::*;
 use yuccatack_requests::dispatch::{ChoiceKind, Target};
@@ -131,7 +131,7 @@
             BalancerMessage::Choose(request) => self.choose(request),
             BalancerMessage::Finished(target, feedback) => {
                 let now = self.now();
-                self.router.finished(&target, feedback, now);
+                self.router.record_feedback(&target, feedback, now);
                 self.serve_queues();
             }
         }
@@ -215,7 +215,7 @@
     ) {
         if let Err(Ok(target)) = reply.send(Ok(target)) {
             // The request ended while it waited.
-            self.router.finished(&target, Feedback::Neutral, now);
+            self.router.record_feedback(&target, Feedback::Neutral, now);
         }
     }
 
@@ -267,17 +267,17 @@
     /// A request with less than twice the typical answer time left is late: one that is started
     /// and not answered in time takes a slot and ends as unknown.
     fn serve_queue(&mut self, service: &ServiceName, queue: &mut FairQueue<ChooseRequest>) {
-        let typical = self.router.typical_latency(service);
+        let typical = self.router.mean_latency(service);
         let run_time = typical + typical;
         while self.router.may_choose(service, self.now()) {
             match queue.pop(self.now(), run_time) {
-                Some(Taken::Next(queued)) => {
+                Some(Dequeued::Next(queued)) => {
                     if let Some(request) = self.try_choose(queued.item) {
                         // Another minion was full after all; the request waits again.
                         let _ = request.reply.send(Err(queue_full()));
                     }
                 }
-                Some(Taken::Late(queued)) => {
+                Some(Dequeued::Late(queued)) => {
                     let _ = queued.item.reply.send(Err(late()));
                 }
                 None => return,
