--- a/crates/yuccatack_dispatch/src/dispatcher.rs
+++ b/crates/yuccatack_dispatch/src/dispatcher.rs
@@ -85,7 +85,7 @@
         self.sessions.values().filter(|session| session.connected).count()
     }
 
-    /// Returns the number of evictions since the last call, and resets it.
+    /// Returns the number of evictions since the last call, stalled runs included, and resets it.
     pub fn take_eviction_count(&mut self) -> u64 {
         std::mem::take(&mut self.eviction_count)
     }
--- a/crates/yuccatack_dispatch/src/health.rs
+++ b/crates/yuccatack_dispatch/src/health.rs
@@ -27,7 +27,7 @@
 /// otherwise take its own pause for a stall of the run.
 const STALL_SAMPLE_COUNT: u32 = 6;
 
-/// Consecutive observations of a run at the same progress.
+/// Series of observations of a run at the same progress.
 #[derive(Debug)]
 struct ProgressSamples {
     percent: u8,
--- a/crates/yuccatack_dispatch/src/observation.rs
+++ b/crates/yuccatack_dispatch/src/observation.rs
@@ -9,8 +9,7 @@
 use crate::session::{OrderState, Session};
 
 /// Number of consecutive observations in which a run must be missing before it is stopped. A single
-/// one may predate the start of the run, since responses of worker and agent can overtake each
-/// other.
+/// one may predate the start of the run, since worker and agent may respond out of order.
 const MISSING_OBSERVATION_COUNT: u8 = 2;
 
 impl Dispatcher {
@@ -100,8 +99,9 @@
     changes
 }
 
-/// Updates the order state of each open run of the worker. Returns the ends of runs that never
-/// began.
+/// Updates the order state of each open run of the worker.
+///
+/// Returns the ends of runs that were stopped before they began.
 fn update_order_states(
     session: &mut Session,
     observation: &Observation,
--- a/crates/yuccatack_dispatch/src/placement.rs
+++ b/crates/yuccatack_dispatch/src/placement.rs
@@ -57,7 +57,7 @@
 /// Returns the sets of workers on which the group may be placed.
 ///
 /// Prefers the rack that holds the step's data, then single racks for rack-local gangs. A rack
-/// counts only if it could hold the whole group when empty; otherwise all eligible workers form one
+/// counts only if it could hold the whole group when empty. Otherwise all eligible workers form one
 /// set.
 pub(crate) fn candidate_sets(group: &TaskGroup<'_>, workers: &[WorkerSnapshot]) -> Vec<Vec<usize>> {
     let eligible: Vec<usize> =
--- a/crates/yuccatack_dispatch/src/protocol.rs
+++ b/crates/yuccatack_dispatch/src/protocol.rs
@@ -37,7 +37,7 @@
     pub rack: Option<Arc<str>>,
     /// Set if the worker is about to leave and takes no new work.
     pub draining: bool,
-    /// Minimum time until a draining worker leaves.
+    /// Minimum time until a draining worker leaves; `None` if it is not known.
     pub remaining_ms: Option<DurationMs>,
 }
 
@@ -64,8 +64,8 @@
     pub run: RunId,
     /// Latest checkpoint of the run; `None` if it has saved none.
     pub checkpoint: Option<Arc<str>>,
-    /// Completed part of the work in percent; for a long-running task, an indication that it is
-    /// active.
+    /// Completed part of the work in percent. For a long-running task, it indicates whether the
+    /// task is active.
     pub percent: u8,
     /// Rough load over the last 500 ms: tail latency in milliseconds for tasks that serve users,
     /// CPU use in thousandths of a core for all others.
--- a/crates/yuccatack_runs/src/job.rs
+++ b/crates/yuccatack_runs/src/job.rs
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Returns `true` if the job has not ended, and no task is running, has failed or has
+    /// Returns `true` if the job has not ended and no task has an open run, has failed or has
     /// completed.
     pub fn is_waiting(&self) -> bool {
         let idle = |occurrence: &Occurrence| {
