--- a/crates/yuccatack_replication/src/actor/mod.rs
+++ b/crates/yuccatack_replication/src/actor/mod.rs
@@ -1,4 +1,4 @@
-//! The actor that owns one replica: its state machine, its storage and its connections.
+//! Actor that owns one replica: its state machine, its storage and its connections.
 
 mod peers;
 mod start;
@@ -24,7 +24,7 @@
 pub(crate) use self::peers::Peers;
 pub(crate) use self::start::start_actor;
 
-/// What the actor is told.
+/// Messages that the actor handles.
 #[derive(Debug)]
 pub(crate) enum ActorMessage {
     Propose(ProposalId, Bytes),
@@ -32,7 +32,7 @@
     StoreSnapshot(LogIndex, Bytes),
     StateHash(LogIndex, u64),
     Receive(Message),
-    /// Acts on everything that was in the mailbox before it.
+    /// Carries out the outputs of all messages that were in the mailbox before it.
     Flush,
     Tick,
     Synced(u64),
@@ -42,13 +42,13 @@
     Stop(oneshot::Sender<()>),
 }
 
-/// The behaviour of the actor; its state is in [`ActorState`].
+/// Behaviour of the replication actor; its state is in [`ActorState`].
 pub(crate) struct ReplicationActor;
 
-/// Everything that the actor owns.
+/// State of the replication actor.
 pub(crate) struct ActorState {
     replica: Replica,
-    started: Instant,
+    started_at: Instant,
     batches: Option<mpsc::UnboundedSender<PersistBatch>>,
     storage_ended: Option<oneshot::Receiver<()>>,
     committed: mpsc::UnboundedSender<Committed>,
@@ -59,7 +59,7 @@
     flush_requested: bool,
     next_change: u64,
     changes: FastHashMap<ChangeNumber, oneshot::Sender<Result<(), ChangeError>>>,
-    handovers: Vec<oneshot::Sender<()>>,
+    transfer_replies: Vec<oneshot::Sender<()>>,
 }
 
 impl Actor for ReplicationActor {
@@ -92,7 +92,7 @@
                 myself.stop(None);
             }
             ActorMessage::TransferLeadership(reply) => {
-                state.handovers.push(reply);
+                state.transfer_replies.push(reply);
                 state.step(&myself, Input::TransferLeadership);
             }
             ActorMessage::ChangeMembership(change, reply) => {
@@ -112,7 +112,7 @@
                 state.step(&myself, Input::StateHash { index, hash });
             }
             ActorMessage::Receive(message) => {
-                state.peers.note_address(message.from, message.from_address);
+                state.peers.set_reported_address(message.from, message.from_address);
                 state.step(&myself, Input::Message(message));
             }
             ActorMessage::Synced(sequence) => state.step(&myself, Input::Synced { sequence }),
@@ -136,7 +136,7 @@
 
 impl ActorState {
     fn now(&self) -> TimestampMs {
-        let elapsed_ms = self.started.elapsed().as_millis();
+        let elapsed_ms = self.started_at.elapsed().as_millis();
         TimestampMs::new(u64::try_from(elapsed_ms).unwrap_or(u64::MAX))
     }
 
@@ -144,8 +144,8 @@
         let now = self.now();
         self.replica.step(input, now);
         if !self.flush_requested {
-            // The mailbox is in order, so everything that waits now is handled before the flush
-            // and shares its messages and its sync.
+            // The mailbox is a FIFO queue, so all messages that wait now are handled before the
+            // flush and share its outgoing messages and its sync.
             self.flush_requested = myself.cast(ActorMessage::Flush).is_ok();
         }
     }
@@ -155,7 +155,7 @@
         let outputs = self.replica.take_outputs();
         let Outputs { messages, persist, committed, changes, failure, next_tick } = outputs;
         if let (Some(batch), Some(batches)) = (persist, &self.batches) {
-            // A closed channel means that the storage failed; its report is in the mailbox.
+            // A closed channel means that the storage failed; `StorageFailed` is in the mailbox.
             let _ = batches.send(batch);
         }
         for message in messages {
@@ -180,8 +180,8 @@
     fn publish_status(&mut self) {
         let view = self.replica.view();
         let next = ReplicationStatus::from_view(&view);
-        if !view.handing_over {
-            for reply in self.handovers.drain(..) {
+        if !view.transferring_leadership {
+            for reply in self.transfer_replies.drain(..) {
                 let _ = reply.send(());
             }
         }
@@ -194,7 +194,7 @@
         });
     }
 
-    /// Keeps one timer that fires no later than `deadline`.
+    /// Ensures that a tick arrives no later than `deadline`, with at most one timer.
     fn schedule(&mut self, myself: &ActorRef<ActorMessage>, deadline: TimestampMs) {
         if let Some((due, timer)) = &self.timer {
             if *due <= deadline {
@@ -202,18 +202,18 @@
             }
             timer.abort();
         }
-        // Rounded up, because a tick just before the deadline would only cause another one.
+        // Rounded up: a tick just before the deadline would have no effect and need another one.
         let delay = Duration::from(deadline.since(self.now())) + Duration::from_millis(1);
         let timer = myself.send_after(delay, || ActorMessage::Tick);
         let handle = tokio::spawn(async move {
-            // The timer task ends by itself when the actor is gone.
+            // The timer task ends by itself when the actor has stopped.
             let _ = timer.await;
         });
         self.timer = Some((deadline, handle));
     }
 
     fn fail(&mut self, myself: &ActorRef<ActorMessage>, failure: ReplicaFailure) {
-        log::error!(event = "replica_failed"; "{failure}");
+        log::error!(event = "replica_failed"; "replica stopped after a failure: {failure}");
         self.status.send_modify(|status| status.failure = Some(failure));
         myself.stop(Some("failed".to_owned()));
     }
@@ -221,12 +221,12 @@
     async fn shut_down(&mut self) {
         self.batches = None;
         if let Some(ended) = self.storage_ended.take() {
-            // The sender is dropped when the task ends, in whichever way.
+            // The storage task drops the sender when it ends, also when it panics.
             let _ = ended.await;
         }
         self.peers.disconnect();
         self.closed.send_replace(true);
-        self.handovers.clear();
+        self.transfer_replies.clear();
         for (_, reply) in self.changes.drain() {
             let _ = reply.send(Err(ChangeError::Stopped));
         }
--- a/crates/yuccatack_replication/src/actor/peers.rs
+++ b/crates/yuccatack_replication/src/actor/peers.rs
@@ -1,4 +1,4 @@
-//! The connections to the other replicas.
+//! Connections to the other replicas.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +10,8 @@
 use crate::message::Message;
 use crate::transport::run_connection;
 
-/// How many messages may wait for one replica. The state machine resends what is dropped.
+/// Maximum number of messages that wait for one replica. The state machine resends dropped
+/// messages.
 const QUEUE_LENGTH: usize = 256;
 
 struct Peer {
@@ -21,18 +22,18 @@
 /// One connection task per replica that messages are sent to.
 pub(crate) struct Peers {
     initial_addresses: BTreeMap<ReplicaId, SocketAddr>,
-    noted_addresses: BTreeMap<ReplicaId, SocketAddr>,
+    reported_addresses: BTreeMap<ReplicaId, SocketAddr>,
     peers: BTreeMap<ReplicaId, Peer>,
 }
 
 impl Peers {
     pub fn new(initial_addresses: BTreeMap<ReplicaId, SocketAddr>) -> Self {
-        Self { initial_addresses, noted_addresses: BTreeMap::new(), peers: BTreeMap::new() }
+        Self { initial_addresses, reported_addresses: BTreeMap::new(), peers: BTreeMap::new() }
     }
 
-    /// Remembers where a replica says that it answers.
-    pub fn note_address(&mut self, replica: ReplicaId, address: SocketAddr) {
-        self.noted_addresses.insert(replica, address);
+    /// Stores the address that a replica reported as its own.
+    pub fn set_reported_address(&mut self, replica: ReplicaId, address: SocketAddr) {
+        self.reported_addresses.insert(replica, address);
     }
 
     /// Sends a message, or drops it when the replica's queue is full.
@@ -40,22 +41,23 @@
         let replica = message.to;
         let Some(address) = self.address(replica, membership) else { return };
         if self.peers.get(&replica).is_none_or(|peer| peer.address != address) {
-            let (queue, waiting) = mpsc::channel(QUEUE_LENGTH);
-            tokio::spawn(run_connection(address, waiting));
+            let (queue, queued) = mpsc::channel(QUEUE_LENGTH);
+            tokio::spawn(run_connection(address, queued));
             self.peers.insert(replica, Peer { address, queue });
         }
         if let Some(peer) = self.peers.get(&replica) {
-            // A full queue is the same as a lossy network.
+            // Drops the message if the queue is full; the state machine tolerates message loss.
             let _ = peer.queue.try_send(message);
         }
     }
 
-    /// A new replica that does not know the members yet answers to the sender's own address.
+    /// Returns the address of a replica. A new replica does not know the members yet and uses the
+    /// addresses that the senders of its messages reported.
     fn address(&self, replica: ReplicaId, membership: &Membership) -> Option<SocketAddr> {
         membership
             .member(replica)
             .map(|member| member.address)
-            .or_else(|| self.noted_addresses.get(&replica).copied())
+            .or_else(|| self.reported_addresses.get(&replica).copied())
             .or_else(|| self.initial_addresses.get(&replica).copied())
     }
 
--- a/crates/yuccatack_replication/src/actor/start.rs
+++ b/crates/yuccatack_replication/src/actor/start.rs
@@ -1,4 +1,4 @@
-//! Opening the data folder and starting the actor.
+//! Start of a replica: opens the data folder and spawns its tasks.
 
 use std::time::Instant;
 
@@ -15,22 +15,23 @@
 use crate::persistence::Recovered;
 use crate::state::{Replica, ReplicaSettings};
 
-/// How many items the user of the log may lag behind before they wait in the replica.
+/// Capacity of the channel to the user of the log; further items wait in the replica.
 const COMMITTED_QUEUE_LENGTH: usize = 1_024;
 
-/// How many bytes of entries one message carries, so that a heartbeat waits behind little.
+/// Maximum size of the entries in one message. Small messages delay the heartbeats behind them
+/// less.
 const APPEND_LIMIT_BYTES: usize = 256 * 1024;
 
-/// A running actor and what it shares.
-pub(crate) struct Started {
+/// Running actor with the channels that it feeds.
+pub(crate) struct RunningReplica {
     pub actor: ActorRef<ActorMessage>,
     pub committed: mpsc::Receiver<Committed>,
     pub status: watch::Receiver<ReplicationStatus>,
     pub closed: watch::Receiver<bool>,
 }
 
-pub(crate) async fn start_actor(config: ReplicationConfig) -> Result<Started, StartError> {
-    check(&config)?;
+pub(crate) async fn start_actor(config: ReplicationConfig) -> Result<RunningReplica, StartError> {
+    validate(&config)?;
     let folder_path = config.data_folder.clone();
     let replica_id = config.replica.get();
     let opened = tokio::task::spawn_blocking(move || open_folder(&folder_path, replica_id)).await;
@@ -51,14 +52,14 @@
 
     let (batches, waiting_batches) = mpsc::unbounded_channel();
     let (storage_ended_sender, storage_ended) = oneshot::channel();
-    let (committed_sender, undelivered) = mpsc::unbounded_channel();
+    let (committed_sender, pending) = mpsc::unbounded_channel();
     let (delivered, committed) = mpsc::channel(COMMITTED_QUEUE_LENGTH);
     let (status_sender, status) = watch::channel(ReplicationStatus::from_view(&replica.view()));
     let (closed_sender, closed) = watch::channel(false);
-    tokio::spawn(deliver(undelivered, delivered));
+    tokio::spawn(forward_to_bounded(pending, delivered));
     let state = ActorState {
         replica,
-        started: Instant::now(),
+        started_at: Instant::now(),
         batches: Some(batches),
         storage_ended: Some(storage_ended),
         committed: committed_sender,
@@ -69,29 +70,29 @@
         flush_requested: false,
         next_change: 0,
         changes: FastHashMap::default(),
-        handovers: Vec::new(),
+        transfer_replies: Vec::new(),
     };
     let (actor, _) = Actor::spawn(None, ReplicationActor, state)
         .await
         .map_err(|error| ActorSnafu { detail: error.to_string() }.build())?;
 
-    let reporter = actor.clone();
+    let storage_actor = actor.clone();
     tokio::task::spawn_blocking(move || {
-        write_batches(store, waiting_batches, |result| report(&reporter, result));
-        // The lock on the folder lasts as long as its files are in use, and no longer than that.
+        write_batches(store, waiting_batches, |result| notify_actor(&storage_actor, result));
+        // The lock on the folder is held exactly as long as its files are in use.
         drop(folder);
         drop(storage_ended_sender);
     });
-    Ok(Started { actor, committed, status, closed })
+    Ok(RunningReplica { actor, committed, status, closed })
 }
 
-fn check(config: &ReplicationConfig) -> Result<(), StartError> {
+fn validate(config: &ReplicationConfig) -> Result<(), StartError> {
     let problem = if config.replica.get() == 0 {
-        "replica id 0 stands for no replica"
+        "replica ID 0 is reserved for \"no replica\""
     } else if config.heartbeat_ms == 0 || config.election_timeout_ms <= 2 * config.heartbeat_ms {
         "the election timeout must be more than twice the heartbeat interval, which must not be 0"
     } else if config.snapshot_entry_count == 0 {
-        "the number of entries between snapshots must not be 0"
+        "the number of entries between snapshots is 0 and must be at least 1"
     } else {
         return Ok(());
     };
@@ -109,23 +110,24 @@
     Ok((folder, store, recovered))
 }
 
-fn report(actor: &ActorRef<ActorMessage>, result: Result<u64, PersistError>) {
+fn notify_actor(actor: &ActorRef<ActorMessage>, result: Result<u64, PersistError>) {
     let message = match result {
         Ok(sequence) => ActorMessage::Synced(sequence),
         Err(error) => ActorMessage::StorageFailed(error.into()),
     };
-    // The actor may have stopped; then nobody waits for the report.
+    // The actor may have stopped; then the result is not needed.
     let _ = actor.cast(message);
 }
 
-/// Moves items to the bounded queue of the user, so that a slow user does not delay heartbeats.
+/// Forwards items to the bounded channel of the user, so that a slow user does not delay
+/// heartbeats.
 ///
-/// What waits here shares its payloads with the log in memory.
-async fn deliver(
-    mut undelivered: mpsc::UnboundedReceiver<Committed>,
+/// The unbounded channel needs little memory: its items share their payloads with the log.
+async fn forward_to_bounded(
+    mut pending: mpsc::UnboundedReceiver<Committed>,
     delivered: mpsc::Sender<Committed>,
 ) {
-    while let Some(item) = undelivered.recv().await {
+    while let Some(item) = pending.recv().await {
         if delivered.send(item).await.is_err() {
             return;
         }
--- a/crates/yuccatack_replication/src/actor/storage_task.rs
+++ b/crates/yuccatack_replication/src/actor/storage_task.rs
@@ -1,4 +1,4 @@
-//! The blocking task that owns the open files.
+//! Blocking task that owns the open files.
 
 use snafu::{ResultExt, Snafu};
 use tokio::sync::mpsc;
@@ -10,13 +10,11 @@
 use crate::replicated_log::{LogEntry, LogPosition};
 use crate::wire::WireError;
 
-/// Why a batch could not be written.
+/// Error of writing a batch.
 #[derive(Debug, Snafu)]
 pub(crate) enum PersistError {
-    /// The files failed.
     #[snafu(display("{source}"))]
     Storage { source: StorageError },
-    /// An entry has no stored form.
     #[snafu(display("{source}"))]
     Encoding { source: WireError },
 }
@@ -35,13 +33,13 @@
     }
 }
 
-/// Writes batches until the sender is gone; whatever waits shares one sync.
+/// Writes batches until the sender is dropped; batches that wait at the same time share one sync.
 ///
 /// Reports the number of the last batch of each write, and stops at the first failure.
 pub(super) fn write_batches(
     mut store: Store,
     mut batches: mpsc::UnboundedReceiver<PersistBatch>,
-    report: impl Fn(Result<u64, PersistError>),
+    on_written: impl Fn(Result<u64, PersistError>),
 ) {
     while let Some(first) = batches.blocking_recv() {
         let mut sequence = first.sequence;
@@ -52,14 +50,14 @@
         }
         let result = write(&mut store, operations);
         let failed = result.is_err();
-        report(result.map(|()| sequence));
+        on_written(result.map(|()| sequence));
         if failed {
             return;
         }
     }
 }
 
-/// Joins appends that follow each other, so that they need one sync.
+/// Merges consecutive appends, so that they need only one sync.
 fn merge(operations: &mut Vec<PersistOperation>, more: Vec<PersistOperation>) {
     for operation in more {
         match (operations.last_mut(), operation) {
@@ -106,7 +104,7 @@
     }
 }
 
-/// Decodes what the data folder held.
+/// Decodes the content of the data folder.
 pub(super) fn decode_recovered(
     stored: yuccatack_storage::Recovered,
 ) -> Result<Recovered, WireError> {
--- a/crates/yuccatack_replication/src/committed.rs
+++ b/crates/yuccatack_replication/src/committed.rs
@@ -1,4 +1,4 @@
-//! What the replicated log delivers to its user.
+//! Items that the replicated log delivers to its user.
 
 use std::net::SocketAddr;
 
@@ -8,93 +8,93 @@
 
 use crate::identifiers::{LogIndex, ProposalId, ReadId, Term};
 
-/// An item of the ordered stream that a replica delivers.
+/// Item of the ordered stream that a replica delivers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Committed {
-    /// A committed command.
+    /// A command was committed.
     Entry {
-        /// Its position; positions of empty entries and membership changes are left out.
+        /// Index of the entry; indexes of empty entries and membership changes are skipped.
         index: LogIndex,
-        /// The term in which it was proposed.
+        /// Term in which the command was proposed.
         term: Term,
-        /// The proposal, when this process made it.
+        /// Proposal that appended the command; absent if another process made it.
         proposal: Option<ProposalId>,
-        /// The command.
+        /// Encoded command.
         payload: Bytes,
     },
-    /// State that replaces everything delivered before; also the first item after a restart.
+    /// A snapshot replaces all state delivered before. After a restart it precedes all entries.
     Snapshot {
-        /// The last entry that the state includes.
+        /// Index of the last entry that the snapshot includes.
         index: LogIndex,
-        /// The state.
+        /// Encoded state.
         payload: Bytes,
     },
-    /// Asks for the state as of `index`, to be answered with `store_snapshot`.
+    /// Requests the state as of `index`; the user responds with `store_snapshot`.
     SnapshotRequested {
-        /// The last entry that the state must include.
+        /// Index of the last entry that the state must include.
         index: LogIndex,
     },
-    /// A proposal that will not be answered by an entry.
+    /// A proposal failed; no entry will be delivered for it under its number.
     ProposalFailed {
-        /// The proposal.
+        /// Number that the proposer gave to the proposal.
         proposal: ProposalId,
-        /// Why.
+        /// Reason of the failure.
         failure: ProposalFailure,
     },
     /// Every entry that was committed when the read was requested has been delivered.
     ReadReady {
-        /// The read.
+        /// Number that the reader gave to the read.
         read: ReadId,
     },
-    /// A read that cannot be served here.
+    /// A read cannot be served by this replica.
     ReadFailed {
-        /// The read.
+        /// Number that the reader gave to the read.
         read: ReadId,
-        /// Why.
+        /// Reason of the failure.
         failure: ReadFailure,
     },
-    /// This replica gained or lost the lead, or learned of another leader.
+    /// This replica gained or lost leadership, or learned of another leader.
     Leadership(Leadership),
 }
 
-/// Why a proposal failed.
+/// Reason why a proposal failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProposalFailure {
     /// Nothing was proposed, because this replica is not the leader.
     NotLeader {
-        /// The leader, if known.
+        /// Address of the leader, if known.
         leader_address: Option<SocketAddr>,
     },
-    /// The lead was lost in the meantime; the command may or may not be committed.
+    /// Leadership was lost before the commit; the command may or may not be committed later.
     Unknown,
 }
 
-/// Why a read failed.
+/// Reason why a read failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadFailure {
-    /// This replica is not the leader, or lost the lead before the read was confirmed.
+    /// This replica is not the leader, or lost leadership before the read was confirmed.
     NotLeader {
-        /// The leader, if known.
+        /// Address of the leader, if known.
         leader_address: Option<SocketAddr>,
     },
 }
 
-/// Whether this replica leads.
+/// Leadership of a replica, as reported to the user of the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Leadership {
     /// This replica leads, and every entry of earlier terms has been delivered.
     Leader {
-        /// The term in which it leads.
+        /// Term in which this replica leads.
         term: Term,
     },
-    /// This replica follows.
+    /// This replica does not lead.
     Follower {
-        /// The leader, if known.
+        /// Address of the leader, if known.
         leader_address: Option<SocketAddr>,
     },
 }
 
-/// Passes what the log delivers to the actor that uses it, until either of them stops.
+/// Forwards committed items to the actor that uses the log, until either side stops.
 pub async fn forward_committed<Wrapped>(
     mut committed: mpsc::Receiver<Committed>,
     actor: ActorRef<Wrapped>,
--- a/crates/yuccatack_replication/src/error.rs
+++ b/crates/yuccatack_replication/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the replicated log.
+//! Errors of starting, running and changing a replica.
 
 use std::net::SocketAddr;
 
@@ -7,130 +7,137 @@
 
 use crate::identifiers::{LogIndex, ReplicaId};
 
-/// Why a replica could not start.
+/// Error of starting a replica.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StartError {
-    /// The data folder cannot be used.
+    /// The data folder cannot be opened or read.
     #[snafu(display("{source}"), context(false))]
     Storage {
-        /// What is wrong with it.
+        /// Storage error with its remedy.
         source: StorageError,
     },
-    /// The folder's content was written by a program with another encoding.
+    /// The data folder was written by a program version with another encoding.
     #[snafu(display(
         "an entry or snapshot in the data folder cannot be decoded ({detail}); run the program \
          version that wrote it, or let this replica join again as a new member"
     ))]
     Undecodable {
-        /// The decoder's message.
+        /// Message of the decoder.
         detail: String,
     },
-    /// The settings contradict themselves.
+    /// The settings contradict each other.
     #[snafu(display("{problem}; correct the replication settings"))]
     InvalidSettings {
-        /// What is wrong.
+        /// Description of the contradiction.
         problem: &'static str,
     },
-    /// The actor could not be started.
+    /// The replication actor could not be started.
     #[snafu(display("the replication actor did not start ({detail}); start the process again"))]
     Actor {
-        /// The runtime's message.
+        /// Message of the actor runtime.
         detail: String,
     },
 }
 
-/// Why a running replica stopped.
+/// Failure that stopped a running replica.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ReplicaFailure {
-    /// Two replicas have different state after the same entry.
+    /// This replica and another one have different state after the same entry.
     #[snafu(display(
         "the state after entry {index} has hash {own:016x} here and {other:016x} on replica \
          {replica}; move the data folder away and let this replica join again as a new member"
     ))]
     StateDiverged {
-        /// The entry.
+        /// Index of the entry.
         index: LogIndex,
-        /// The hash of this replica.
+        /// Hash of the state on this replica.
         own: u64,
-        /// The hash of the other one.
+        /// Hash of the state on the other replica.
         other: u64,
-        /// The other replica.
+        /// Replica with the other hash.
         replica: ReplicaId,
     },
-    /// The disk has no space left; what was written before is intact.
+    /// The disk is full; earlier writes are intact.
     #[snafu(display("{detail}"))]
     DiskFull {
-        /// The storage's message with its remedy.
+        /// Message of the storage with its remedy.
         detail: String,
     },
-    /// The data folder failed.
+    /// Reading or writing the data folder failed.
     #[snafu(display("{detail}"))]
     Storage {
-        /// The storage's message with its remedy.
+        /// Message of the storage with its remedy.
         detail: String,
     },
 }
 
-/// Why a change of membership was not made.
+/// Reason why a membership change was not made.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ChangeError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     #[snafu(display("this replica is not the leader; send the change to the leader"))]
     NotLeader {
-        /// The leader, if known.
+        /// Address of the leader, if known.
         leader_address: Option<SocketAddr>,
     },
-    /// Another change is not finished.
+    /// Another membership change or a leadership transfer is in progress, or the leader has not
+    /// committed its first entry.
     #[snafu(display("another membership change is in progress; send this one after it"))]
     InProgress,
-    /// The replica is a member already.
-    #[snafu(display("replica {replica} is a member; use a replica id that was never used"))]
+    /// The replica to add is already a member.
+    #[snafu(display(
+        "replica {replica} is already a member; choose a replica ID that was never used"
+    ))]
     AlreadyMember {
-        /// The replica.
+        /// Replica that the change would add.
         replica: ReplicaId,
     },
-    /// The replica has not the role that the change requires.
-    #[snafu(display("replica {replica} has not the required role; check the current members"))]
+    /// The replica does not have the role that the change requires.
+    #[snafu(display(
+        "replica {replica} does not have the role that the change requires; check the current \
+         members"
+    ))]
     WrongRole {
-        /// The replica.
+        /// Replica that the change names.
         replica: ReplicaId,
     },
-    /// Nobody would be left to vote.
+    /// The change would remove the last voter.
     #[snafu(display("the last voter cannot be removed; add another voter first"))]
     LastVoter,
-    /// Too few of the resulting voters hold the committed log.
+    /// Fewer than a quorum of the resulting voters hold the committed log.
     #[snafu(display(
-        "only {holders} of the resulting voters hold the committed log and {needed} are needed; \
+        "only {holders} of the resulting voters hold the committed log and {needed} are required; \
          wait until more voters have caught up, or start the stopped ones"
     ))]
     TooFewHolders {
-        /// How many hold it.
+        /// Number of resulting voters that hold the committed log.
         holders: usize,
-        /// How many must.
+        /// Size of a quorum of the resulting voters.
         needed: usize,
     },
-    /// The learner did not catch up in time.
+    /// The learner did not catch up before the promotion timed out.
     #[snafu(display(
         "learner {replica} holds the log up to {matched} and must hold it up to {needed}; promote \
          it again when it has caught up"
     ))]
     LearnerBehind {
-        /// The learner.
+        /// Learner to promote.
         replica: ReplicaId,
-        /// What it holds.
+        /// Last index that the learner holds.
         matched: LogIndex,
-        /// What it must hold.
+        /// Index that the learner must hold.
         needed: LogIndex,
     },
-    /// The lead was lost before the change was committed.
+    /// Leadership was lost before the change was committed.
     #[snafu(display(
-        "leadership was lost, and the change may or may not be made; read the current members"
+        "leadership was lost before the membership change was committed, and it may or may not \
+         take effect; check the current members"
     ))]
     Unknown,
-    /// The replica stopped.
+    /// The replica has stopped.
     #[snafu(display("the replica has stopped; send the change to another one"))]
     Stopped,
 }
--- a/crates/yuccatack_replication/src/handle.rs
+++ b/crates/yuccatack_replication/src/handle.rs
@@ -1,4 +1,4 @@
-//! The interface of the replicated log to the control process.
+//! Public interface of a replica: its settings, its status and the requests to it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,57 +16,58 @@
 use crate::state::{ReplicaView, RoleView};
 use crate::transport::{Inbound, ReplicationService};
 
-/// The settings of one replica.
+/// Settings of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicationConfig {
-    /// The number of this replica; unique for the life of the deployment.
+    /// Number of this replica; never reused within a deployment.
     pub replica: ReplicaId,
-    /// Where this replica answers the others.
+    /// Address on which this replica accepts messages of the others.
     pub address: SocketAddr,
-    /// The voters with which a new deployment starts; ignored once the cluster is formed.
+    /// Voters of a new deployment; ignored once the cluster is formed.
     pub initial_voters: BTreeMap<ReplicaId, SocketAddr>,
-    /// How often a leader sends a heartbeat.
+    /// Interval between the heartbeats of a leader.
     pub heartbeat_ms: u64,
-    /// The shortest election timeout; the longest is twice as long.
+    /// Lower bound of the randomised election timeout; the upper bound is twice as high.
     pub election_timeout_ms: u64,
-    /// How many entries are delivered before a snapshot is asked for.
+    /// Number of entries that are delivered before the next snapshot is requested.
     pub snapshot_entry_count: u64,
-    /// The folder that holds all durable state.
+    /// Folder that holds all durable state.
     pub data_folder: PathBuf,
 }
 
-/// The role of a replica.
+/// Role of a replica, as reported in its status.
 pub type RoleName = RoleView;
 
-/// A learner and how far it has come.
+/// Address of a learner and the part of the log that it holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LearnerStatus {
-    /// Where it answers.
+    /// Address on which the learner accepts messages.
     pub address: SocketAddr,
-    /// The last index that it holds on disk, as the leader knows it; nothing on other replicas.
+    /// Last index that the learner is known to hold on disk; present only on the leader.
     pub matched: Option<LogIndex>,
 }
 
-/// What a replica shows of itself.
+/// Status of a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplicationStatus {
-    /// Its role.
+    /// Role in the current term.
     pub role: RoleName,
-    /// Its term.
+    /// Current term.
     pub term: Term,
-    /// The leader, if known.
+    /// Leader of the current term, if known.
     pub leader: Option<ReplicaId>,
-    /// Where the leader answers, if known.
+    /// Address of the leader, if known.
     pub leader_address: Option<SocketAddr>,
-    /// The last entry known to be committed.
+    /// Commit index.
     pub commit: LogIndex,
-    /// The voters; while a change is under way, those of the new membership.
+    /// Addresses of the voters; during a joint membership those of the new set.
     pub voters: BTreeMap<ReplicaId, SocketAddr>,
-    /// The learners.
+    /// Learners by their number.
     pub learners: BTreeMap<ReplicaId, LearnerStatus>,
-    /// The voters that have been silent for long, as the leader knows it.
+    /// Voters that have not responded for several election timeouts; empty unless this replica
+    /// leads.
     pub silent_voters: BTreeSet<ReplicaId>,
-    /// Why the replica stopped, if it did.
+    /// Failure that stopped the replica, if any.
     pub failure: Option<ReplicaFailure>,
 }
 
@@ -112,44 +113,45 @@
 }
 
 impl ReplicationHandle {
-    /// Proposes a command; the answer is a [`Committed::Entry`] or [`Committed::ProposalFailed`].
+    /// Proposes a command; its outcome arrives as [`Committed::Entry`] or
+    /// [`Committed::ProposalFailed`].
     pub fn propose(&self, proposal: ProposalId, payload: Bytes) {
         self.cast(ActorMessage::Propose(proposal, payload));
     }
 
-    /// Requests a linearizable read; the answer is a [`Committed::ReadReady`] or
+    /// Requests a linearizable read; its outcome arrives as [`Committed::ReadReady`] or
     /// [`Committed::ReadFailed`].
     pub fn read(&self, read: ReadId) {
         self.cast(ActorMessage::Read(read));
     }
 
-    /// Answers [`Committed::SnapshotRequested`] with the state as of `index`.
+    /// Responds to [`Committed::SnapshotRequested`] with the state as of `index`.
     pub fn store_snapshot(&self, index: LogIndex, payload: Bytes) {
         self.cast(ActorMessage::StoreSnapshot(index, payload));
     }
 
-    /// Reports the hash of the state after `index`; a replica that differs stops.
+    /// Reports the hash of the state after `index`; a replica whose hash differs stops.
     pub fn report_state_hash(&self, index: LogIndex, hash: u64) {
         self.cast(ActorMessage::StateHash(index, hash));
     }
 
-    /// Hands the lead to another voter; returns when this replica does not lead any more, or after
-    /// the hand-over was given up.
+    /// Transfers leadership to another voter; returns when this replica no longer leads, or when
+    /// the transfer has timed out.
     pub async fn transfer_leadership(&self) {
         let (reply, answer) = oneshot::channel();
         self.cast(ActorMessage::TransferLeadership(reply));
-        // An error means that the replica stopped, and then it does not lead.
+        // An error means that the replica has stopped and therefore does not lead.
         let _ = answer.await;
     }
 
-    /// Changes the membership; returns when the change is committed or refused.
+    /// Changes the membership; returns when the change is committed or has failed.
     pub async fn change_membership(&self, change: MembershipChange) -> Result<(), ChangeError> {
         let (reply, answer) = oneshot::channel();
         self.cast(ActorMessage::ChangeMembership(change, reply));
         answer.await.unwrap_or(Err(ChangeError::Stopped))
     }
 
-    /// Follows the replica's status.
+    /// Returns a receiver that observes the status of the replica.
     pub fn status(&self) -> watch::Receiver<ReplicationStatus> {
         self.status.clone()
     }
@@ -158,11 +160,12 @@
     pub async fn stop(self) {
         let (reply, answer) = oneshot::channel();
         self.cast(ActorMessage::Stop(reply));
-        // An error means that the replica has stopped already.
+        // An error means that the replica has already stopped.
         let _ = answer.await;
     }
 
-    /// A stopped replica answers nothing; its stream of committed items has ended.
+    /// Sends a message to the actor. A stopped replica ignores it; its stream of committed items
+    /// has ended.
     fn cast(&self, message: ActorMessage) {
         let _ = self.actor.cast(message);
     }
--- a/crates/yuccatack_replication/src/identifiers.rs
+++ b/crates/yuccatack_replication/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Numbers that identify positions, terms, replicas and requests.
+//! Number types for log positions, terms, replicas and requests.
 
 use std::fmt;
 
@@ -13,12 +13,12 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Wraps the raw number.
+            /// Creates an identifier from its raw number.
             pub const fn new(number: u64) -> Self {
                 Self(number)
             }
 
-            /// The raw number.
+            /// Returns the raw number.
             pub const fn get(self) -> u64 {
                 self.0
             }
@@ -33,47 +33,48 @@
 }
 
 number_type! {
-    /// A position in the log; the first entry has 1, and 0 stands for "before the first".
+    /// Position in the log; the first entry has 1, and 0 is the position before it.
     LogIndex,
-    /// An election period with at most one leader.
+    /// Election period with at most one leader.
     Term,
-    /// A replica; unique for the life of the deployment. 0 stands for "none".
+    /// Number of a replica, never reused within a deployment. 0 stands for no replica.
     ReplicaId,
-    /// A proposal, numbered by the process that makes it.
+    /// Number of a proposal, assigned by the process that makes it.
     ProposalId,
-    /// A read, numbered by the process that makes it.
+    /// Number of a read, assigned by the process that makes it.
     ReadId,
-    /// A requested change of membership, numbered by the process that requests it.
+    /// Number of a requested membership change, assigned by the process that requests it.
     ChangeNumber,
-    /// A cluster; the data-folder incarnation of the replica that formed it. 0 stands for "none".
+    /// Identifier of a cluster: the data folder incarnation of the replica that formed it. 0 stands
+        /// for no cluster.
     ClusterId,
 }
 
 impl LogIndex {
-    /// The position after this one.
+    /// Returns the index after this one.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The position before this one; 0 stays.
+    /// Returns the index before this one; 0 for 0.
     pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
 impl Term {
-    /// The term after this one.
+    /// Returns the term after this one.
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
 impl ReplicaId {
-    /// No replica.
+    /// Stands for "no replica", for example where no vote was given.
     pub const NONE: Self = Self(0);
 }
 
 impl ClusterId {
-    /// No cluster.
+    /// Stands for "no cluster", in a new data folder.
     pub const NONE: Self = Self(0);
 }
--- a/crates/yuccatack_replication/src/lib.rs
+++ b/crates/yuccatack_replication/src/lib.rs
@@ -1,7 +1,7 @@
-//! The replicated log: elections, membership, snapshots and transport.
+//! Replicated log with elections, membership changes, snapshots and transport.
 //!
-//! [`state`] decides and does no I/O; the actor behind [`start`] owns the storage, and the
-//! transport carries messages between replicas.
+//! [`state`] holds the consensus state machine and does no I/O. The actor behind [`start`] owns the
+//! state machine and the storage, and the transport carries messages between replicas.
 
 mod actor;
 mod committed;
@@ -31,10 +31,10 @@
 pub use transport::ReplicationService;
 pub use wire::WireError;
 
-/// Generated wire types and services; regenerate with `cargo run --package codegen`.
+/// Generated protobuf types and gRPC services; regenerate with `cargo run --package codegen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic, rustdoc::all)]
 pub mod generated {
-    /// The `replication` protocol.
+    /// Package `yuccatack.replication.v1`.
     #[path = "yuccatack.replication.v1.rs"]
     pub mod replication;
 }
--- a/crates/yuccatack_replication/src/membership.rs
+++ b/crates/yuccatack_replication/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes and who learns.
+//! Voters and learners of a cluster.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,61 +8,62 @@
 
 use crate::identifiers::{LogIndex, ReplicaId};
 
-/// One replica as the members know it.
+/// Address and data folder of one member.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where the replica answers.
+    /// Address on which the replica accepts messages.
     pub address: SocketAddr,
-    /// The data folder that the membership was given to; 0 for a learner not yet heard of.
+    /// Incarnation of the data folder that is bound to the membership; 0 for a learner until it is
+    /// promoted.
     pub incarnation: Incarnation,
 }
 
-/// The members of a cluster.
+/// Members of a cluster.
 ///
 /// While `outgoing` is set, elections and commits need a majority of both sets. A learner that
 /// replaces a voter changes two members in one step, and majorities of the old and the new set
 /// alone need not overlap.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The replicas that vote.
+    /// Replicas that vote and count for commits.
     pub voters: BTreeMap<ReplicaId, Member>,
-    /// The voters of the membership that is being left.
+    /// Voters of the previous membership, during a joint membership.
     pub outgoing: Option<BTreeMap<ReplicaId, Member>>,
-    /// The replicas that receive the log and do not vote.
+    /// Replicas that receive the log and do not vote.
     pub learners: BTreeMap<ReplicaId, Member>,
 }
 
-/// A requested change of membership.
+/// Requested change of membership.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MembershipChange {
-    /// Lets a new replica receive the log.
+    /// Adds a replica that receives the log and does not vote.
     AddLearner {
-        /// The new replica; never the number of a present member.
+        /// Number of the new replica; must not be that of a member.
         replica: ReplicaId,
-        /// Where it answers.
+        /// Address on which the new replica accepts messages.
         address: SocketAddr,
     },
-    /// Turns a learner into a voter once it holds what is committed now.
+    /// Promotes a learner to voter once it holds all entries committed at the time of the request.
     Promote {
-        /// The learner.
+        /// Learner to promote.
         replica: ReplicaId,
-        /// The failed voter that leaves in the same step.
+        /// Failed voter to remove in the same change.
         replaces: Option<ReplicaId>,
     },
     /// Removes a voter.
     RemoveVoter {
-        /// The voter.
+        /// Voter to remove.
         replica: ReplicaId,
     },
     /// Removes a learner.
     RemoveLearner {
-        /// The learner.
+        /// Learner to remove.
         replica: ReplicaId,
     },
 }
 
 impl Membership {
-    /// The member `replica` in whichever role it has.
+    /// Returns the member `replica` in any role.
     pub fn member(&self, replica: ReplicaId) -> Option<&Member> {
         self.voters
             .get(&replica)
@@ -70,25 +71,25 @@
             .or_else(|| self.learners.get(&replica))
     }
 
-    /// The voter `replica` of either set.
+    /// Returns the voter `replica` of the current or the outgoing set.
     pub fn voter(&self, replica: ReplicaId) -> Option<&Member> {
         self.voters
             .get(&replica)
             .or_else(|| self.outgoing.as_ref().and_then(|outgoing| outgoing.get(&replica)))
     }
 
-    /// Whether the data folder `incarnation` of `replica` may vote.
+    /// Returns `true` if `replica` is a voter with the data folder `incarnation`.
     pub fn is_voter(&self, replica: ReplicaId, incarnation: Incarnation) -> bool {
         self.voter(replica).is_some_and(|member| member.incarnation == incarnation)
     }
 
-    /// All members.
+    /// Returns the voters of both sets and the learners.
     pub fn replicas(&self) -> BTreeSet<ReplicaId> {
         let outgoing = self.outgoing.iter().flat_map(BTreeMap::keys);
         self.voters.keys().chain(outgoing).chain(self.learners.keys()).copied().collect()
     }
 
-    /// Whether the replicas that satisfy `holds` are a quorum.
+    /// Returns `true` if the replicas that satisfy `holds` form a quorum of each set of voters.
     pub fn has_quorum(&self, holds: impl Fn(ReplicaId) -> bool) -> bool {
         let majority = |voters: &BTreeMap<ReplicaId, Member>| {
             voters.keys().filter(|replica| holds(**replica)).count() > voters.len() / 2
@@ -96,11 +97,11 @@
         majority(&self.voters) && self.outgoing.as_ref().is_none_or(majority)
     }
 
-    /// The largest index that a quorum has reached.
-    pub fn quorum_index(&self, reached: impl Fn(ReplicaId) -> LogIndex) -> LogIndex {
+    /// Returns the highest index that a quorum of each set of voters has reached.
+    pub fn quorum_index(&self, index_of: impl Fn(ReplicaId) -> LogIndex) -> LogIndex {
         let of_set = |voters: &BTreeMap<ReplicaId, Member>| {
             let mut indexes: Vec<LogIndex> =
-                voters.keys().map(|replica| reached(*replica)).collect();
+                voters.keys().map(|replica| index_of(*replica)).collect();
             indexes.sort_unstable();
             let position = indexes.len().saturating_sub(1) / 2;
             indexes.get(position).copied().unwrap_or_default()
--- a/crates/yuccatack_replication/src/message.rs
+++ b/crates/yuccatack_replication/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas.
+//! Consensus messages exchanged between replicas.
 
 use std::net::SocketAddr;
 
@@ -10,121 +10,121 @@
 use crate::membership::Membership;
 use crate::replicated_log::{LogEntry, LogPosition};
 
-/// A message with both ends and the sender's term.
+/// Consensus message with its sender, its receiver and the sender's term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// Replica that sends the message.
     pub from: ReplicaId,
-    /// The sender's data folder.
+    /// Incarnation of the sender's data folder.
     pub from_incarnation: Incarnation,
-    /// Where the sender answers.
+    /// Address on which the sender accepts messages.
     pub from_address: SocketAddr,
-    /// The receiver.
+    /// Replica that the message is addressed to.
     pub to: ReplicaId,
-    /// The data folder that the message is for; 0 when the sender does not know it yet.
+    /// Incarnation of the receiver's data folder; 0 when the sender does not know it yet.
     pub to_incarnation: Incarnation,
-    /// The sender's cluster; 0 while it has none.
+    /// Cluster of the sender; 0 while the sender belongs to none.
     pub cluster: ClusterId,
-    /// The sender's term.
+    /// Current term of the sender.
     pub term: Term,
-    /// The content.
+    /// Request or response that the message carries.
     pub body: MessageBody,
 }
 
-/// The content of a message.
+/// Request or response that a message carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks an initial voter of a new deployment for its incarnation and cluster.
+    /// Requests the incarnation and the cluster of an initial voter of a new deployment.
     Hello,
-    /// The answer to a hello; both are in the message's header.
+    /// Response to `Hello`; incarnation and cluster are in the header of the message.
     HelloReply,
-    /// Asks for a vote.
+    /// Requests a vote.
     VoteRequest {
-        /// The term to be elected for.
+        /// Term of the election.
         for_term: Term,
-        /// Whether this only asks if the vote would be given.
+        /// `true` for a pre-vote, which checks if the vote would be granted and changes no state.
         pre_vote: bool,
-        /// Whether the leader asked the sender to take over.
+        /// `true` if the leader requested this election to transfer its leadership.
         transfer: bool,
-        /// Where the sender's log ends.
+        /// Position of the last entry in the sender's log.
         last: LogPosition,
     },
-    /// The answer to a vote request.
+    /// Response to `VoteRequest`.
     VoteResponse {
-        /// The term of the request.
+        /// Term that the request named.
         for_term: Term,
-        /// Whether the request was a pre-vote.
+        /// `true` if the request was a pre-vote.
         pre_vote: bool,
-        /// Whether the vote is given.
+        /// `true` if the vote is granted.
         granted: bool,
     },
-    /// Entries of the leader's log.
+    /// Replicates entries of the leader's log.
     Append {
-        /// The position just before the entries.
+        /// Position just before the first of the entries.
         previous: LogPosition,
-        /// The entries; may be empty.
+        /// Consecutive entries after `previous`; empty when only the positions are compared.
         entries: Vec<LogEntry>,
-        /// The leader's commit index.
+        /// Commit index of the leader.
         commit: LogIndex,
     },
-    /// The answer to an append.
+    /// Response to `Append`.
     AppendResponse(AppendOutcome),
-    /// Keeps the leader's lead and confirms it for reads.
+    /// Maintains the leader's leadership and confirms it for reads.
     Heartbeat {
-        /// What the receiver is known to hold of the committed log.
+        /// Last committed index that the receiver is known to hold.
         commit: LogIndex,
-        /// The number of the confirmation round.
+        /// Number of the newest confirmation round for reads.
         round: u64,
     },
-    /// The answer to a heartbeat.
+    /// Response to `Heartbeat`.
     HeartbeatResponse {
-        /// The round of the heartbeat.
+        /// Round that the heartbeat named.
         round: u64,
     },
-    /// A part of the leader's snapshot.
+    /// Transfers one chunk of the leader's snapshot.
     SnapshotChunk {
-        /// The last entry that the snapshot includes.
+        /// Position of the last entry that the snapshot includes.
         last: LogPosition,
-        /// The members at that entry.
+        /// Membership as of that entry.
         membership: Membership,
-        /// Where the part starts.
+        /// Offset of the chunk within the snapshot.
         offset_bytes: u64,
-        /// The length of the whole snapshot.
+        /// Size of the complete snapshot.
         total_bytes: u64,
-        /// The part.
+        /// Bytes of the chunk.
         data: Bytes,
     },
-    /// How much of a snapshot has arrived.
+    /// Acknowledges the part of a snapshot that has arrived.
     SnapshotResponse {
-        /// The snapshot's last entry.
+        /// Index of the last entry that the snapshot includes.
         index: LogIndex,
-        /// Where the next part must start.
+        /// Offset at which the next chunk must start.
         received_bytes: u64,
     },
-    /// Asks the receiver to become leader at once.
+    /// Requests the receiver to start an election without waiting for its timeout.
     TimeoutNow,
-    /// The hash of the replicated state after an entry.
+    /// Reports the hash of the replicated state after an entry.
     StateHash {
-        /// The entry.
+        /// Index of the entry.
         index: LogIndex,
-        /// The hash.
+        /// Hash of the state after that entry.
         hash: u64,
     },
 }
 
-/// What became of an append.
+/// Result of an append.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The log agrees with the leader's up to here, and that part is on disk.
+    /// The log matches the leader's log up to `matched`, and that part is on disk.
     Accepted {
-        /// The last index that agrees.
+        /// Last index that matches.
         matched: LogIndex,
     },
-    /// The position before the entries is unknown or has another term.
+    /// The position before the entries is not in the log or has another term.
     Rejected {
-        /// The refused position.
+        /// Index before the entries of the rejected append.
         previous: LogIndex,
-        /// Where the logs may still agree.
+        /// Last position at which the logs may match.
         hint: LogPosition,
     },
 }
--- a/crates/yuccatack_replication/src/persistence.rs
+++ b/crates/yuccatack_replication/src/persistence.rs
@@ -1,4 +1,4 @@
-//! What the state machine asks to have written, and what it starts from.
+//! Writes that the state machine requests, and the durable state that it starts from.
 
 use bytes::Bytes;
 
@@ -6,29 +6,29 @@
 use crate::membership::Membership;
 use crate::replicated_log::{LogEntry, LogPosition};
 
-/// What a replica must remember besides its log.
+/// Durable state of a replica besides its log and its snapshot.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct HardState {
-    /// The newest term that the replica has seen.
+    /// Highest term that the replica has seen.
     pub term: Term,
-    /// The replica that got its vote in that term.
+    /// Replica that received its vote in that term; [`ReplicaId::NONE`] if none did.
     pub voted_for: ReplicaId,
-    /// The cluster that the replica belongs to.
+    /// Cluster of the replica; [`ClusterId::NONE`] before it joins one.
     pub cluster: ClusterId,
 }
 
-/// State that replaces the log up to a position.
+/// Snapshot of the replicated state, which replaces the log up to a position.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StateSnapshot {
-    /// The last entry that the snapshot includes.
+    /// Position of the last entry that the snapshot includes.
     pub last: LogPosition,
-    /// The members at that entry.
+    /// Membership as of that entry.
     pub membership: Membership,
-    /// The state.
+    /// Encoded state.
     pub payload: Bytes,
 }
 
-/// One write; the order of writes is the order in which they were asked for.
+/// One write to durable storage; writes are made in the order in which they were requested.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PersistOperation {
     /// Replaces the hard state.
@@ -37,39 +37,39 @@
     Append(Vec<LogEntry>),
     /// Replaces the snapshot.
     Snapshot(StateSnapshot),
-    /// Replaces the log by one that starts after `base`.
+    /// Replaces the log with one that starts after `base`.
     RestartLog {
-        /// The position before the first entry.
+        /// Position before the first entry of the new log.
         base: LogPosition,
-        /// All entries after it.
+        /// Entries of the new log.
         entries: Vec<LogEntry>,
     },
 }
 
-/// Writes that are confirmed together.
+/// Group of writes that are confirmed together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistBatch {
-    /// The number by which the confirmation refers to the batch.
+    /// Number by which the confirmation refers to the batch; it increases by 1 a batch.
     pub sequence: u64,
-    /// The writes in order.
+    /// Writes in the order in which they must be made.
     pub operations: Vec<PersistOperation>,
 }
 
-/// What a replica finds in its data folder.
+/// Durable state that a replica recovers from its data folder.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
-    /// Term, vote and cluster.
+    /// Term, vote and cluster; all 0 in a new folder.
     pub hard_state: HardState,
-    /// The newest snapshot.
+    /// Newest snapshot, if one was taken or received.
     pub snapshot: Option<StateSnapshot>,
-    /// The position before the first entry.
+    /// Position before the first entry.
     pub base: LogPosition,
-    /// The entries after the base.
+    /// Entries after the base, without gaps.
     pub entries: Vec<LogEntry>,
 }
 
 impl Recovered {
-    /// The last index on disk.
+    /// Returns the last index on disk.
     pub fn last_index(&self) -> LogIndex {
         self.entries.last().map_or(self.base.index, |entry| entry.index)
     }
--- a/crates/yuccatack_replication/src/replicated_log.rs
+++ b/crates/yuccatack_replication/src/replicated_log.rs
@@ -1,4 +1,4 @@
-//! The log in memory.
+//! In-memory part of the replicated log.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -6,30 +6,30 @@
 use crate::identifiers::{LogIndex, Term};
 use crate::membership::Membership;
 
-/// The content of an entry.
+/// Payload of a log entry.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// The first entry of a new leader.
+    /// First entry of a new leader, which carries no command.
     Empty,
-    /// A command for the replicated state.
+    /// Encoded command for the replicated state.
     Command(Bytes),
-    /// The members from this entry on.
+    /// Membership that takes effect with this entry, before it is committed.
     Membership(Membership),
 }
 
-/// One entry of the log.
+/// Log entry.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// The term of the leader that made the entry.
+    /// Term of the leader that created the entry.
     pub term: Term,
-    /// The position of the entry.
+    /// Position of the entry in the log.
     pub index: LogIndex,
-    /// The content.
+    /// Command, membership or nothing.
     pub payload: EntryPayload,
 }
 
 impl LogEntry {
-    /// About how many bytes the entry needs in a message.
+    /// Estimates the size of the entry in a message.
     pub fn size_bytes(&self) -> usize {
         let payload = match &self.payload {
             EntryPayload::Empty => 0,
@@ -40,24 +40,24 @@
     }
 }
 
-/// A position and the term of the entry there.
+/// Position in the log with the term of its entry.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The index.
+    /// Index of the entry; 0 before the first entry.
     pub index: LogIndex,
-    /// The term.
+    /// Term of the entry; 0 before the first entry.
     pub term: Term,
 }
 
 impl LogPosition {
-    /// Whether a log that ends here holds everything that a log ending at `other` can have
-    /// committed.
+    /// Returns `true` if a log that ends here holds every entry that a log ending at `other` may
+    /// have committed.
     pub fn is_up_to_date_with(self, other: Self) -> bool {
         (self.term, self.index) >= (other.term, other.index)
     }
 }
 
-/// Entries after a base, without gaps.
+/// Log entries after a base position, without gaps.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     base: LogPosition,
@@ -65,7 +65,7 @@
 }
 
 impl Log {
-    /// A log that starts after `base`.
+    /// Creates a log from the entries after `base`.
     pub fn new(base: LogPosition, entries: Vec<LogEntry>) -> Self {
         let log = Self { base, entries };
         log.assert_contiguous();
@@ -75,18 +75,23 @@
     fn assert_contiguous(&self) {
         let mut previous = self.base;
         for entry in &self.entries {
-            assert_eq!(entry.index, previous.index.next(), "the log has a gap");
-            assert!(entry.term >= previous.term, "terms decrease in the log at {}", entry.index);
+            assert_eq!(
+                entry.index,
+                previous.index.next(),
+                "gap in the log after {}",
+                previous.index
+            );
+            assert!(entry.term >= previous.term, "the term decreases at log index {}", entry.index);
             previous = LogPosition { index: entry.index, term: entry.term };
         }
     }
 
-    /// The position before the first entry.
+    /// Returns the position before the first entry.
     pub fn base(&self) -> LogPosition {
         self.base
     }
 
-    /// The position of the last entry.
+    /// Returns the position of the last entry, or the base if there are no entries.
     pub fn last(&self) -> LogPosition {
         self.entries
             .last()
@@ -98,12 +103,12 @@
         usize::try_from(after_base.checked_sub(1)?).ok()
     }
 
-    /// The entry at `index`.
+    /// Returns the entry at `index`, unless it is compacted or not appended yet.
     pub fn entry(&self, index: LogIndex) -> Option<&LogEntry> {
         self.entries.get(self.position(index)?)
     }
 
-    /// The term at `index`, where the log knows it.
+    /// Returns the term at `index`, which may also be the base.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -111,7 +116,8 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The entries from `first` on, at least one and up to about `limit_bytes`.
+    /// Returns the entries from `first` on up to about `limit_bytes`, and at least one if there is
+    /// any.
     pub fn slice(&self, first: LogIndex, limit_bytes: usize) -> &[LogEntry] {
         let Some(start) = self.position(first) else { return &[] };
         let Some(rest) = self.entries.get(start..) else { return &[] };
@@ -127,26 +133,26 @@
         &rest[..count]
     }
 
-    /// All entries after the base.
+    /// Returns all entries after the base.
     pub fn entries(&self) -> &[LogEntry] {
         &self.entries
     }
 
-    /// Appends one entry.
+    /// Appends an entry; its index must follow the last one.
     pub fn push(&mut self, entry: LogEntry) {
         let last = self.last();
-        assert_eq!(entry.index, last.index.next(), "the log would get a gap");
-        assert!(entry.term >= last.term, "the term of entry {} decreases", entry.index);
+        assert_eq!(entry.index, last.index.next(), "append leaves a gap after {}", last.index);
+        assert!(entry.term >= last.term, "the term decreases at log index {}", entry.index);
         self.entries.push(entry);
     }
 
     /// Removes all entries after `last`.
     pub fn truncate_after(&mut self, last: LogIndex) {
-        assert!(last >= self.base.index, "the compacted part of the log would be cut");
+        assert!(last >= self.base.index, "truncation after {last} removes compacted entries");
         self.entries.truncate((last.get() - self.base.index.get()) as usize);
     }
 
-    /// Forgets all entries up to and including `index`.
+    /// Drops all entries up to and including `index`, which becomes the base.
     pub fn compact(&mut self, index: LogIndex) {
         let Some(entry) = self.entry(index) else { return };
         let base = LogPosition { index, term: entry.term };
@@ -154,13 +160,13 @@
         self.base = base;
     }
 
-    /// Starts over after `base`.
+    /// Drops all entries and sets the base.
     pub fn reset(&mut self, base: LogPosition) {
         self.base = base;
         self.entries.clear();
     }
 
-    /// The last position at or before `index` whose term is not above `term`.
+    /// Returns the last position at or before `index` with a term of at most `term`.
     pub fn last_with_term_up_to(&self, index: LogIndex, term: Term) -> LogPosition {
         let mut candidate = index.min(self.last().index);
         while candidate > self.base.index {
--- a/crates/yuccatack_replication/src/state/delivery.rs
+++ b/crates/yuccatack_replication/src/state/delivery.rs
@@ -1,4 +1,4 @@
-//! Handing committed entries to the user of the log, in order.
+//! Delivery of committed entries to the user of the log, in order.
 
 use super::{Replica, Role};
 use crate::committed::{Committed, Leadership};
@@ -6,7 +6,7 @@
 use crate::replicated_log::EntryPayload;
 
 impl Replica {
-    /// Delivers what is committed and on the own disk.
+    /// Delivers the entries that are committed and on the own disk.
     pub(super) fn deliver(&mut self) {
         self.deliver_snapshot();
         let last = self.commit.min(self.synced_index);
@@ -15,9 +15,9 @@
                 break;
             }
         }
-        self.announce_lead();
-        self.answer_reads();
-        self.ask_for_snapshot();
+        self.announce_leadership();
+        self.complete_reads();
+        self.request_snapshot();
     }
 
     fn deliver_snapshot(&mut self) {
@@ -31,7 +31,7 @@
     }
 
     fn deliver_entry(&mut self, index: LogIndex) -> bool {
-        // The entries before a snapshot that is still being synced are gone.
+        // Entries covered by a snapshot that is still being synced are no longer in the log.
         let Some(entry) = self.log.entry(index) else { return false };
         let term = entry.term;
         let payload = match &entry.payload {
@@ -53,7 +53,7 @@
         }
     }
 
-    fn announce_lead(&mut self) {
+    fn announce_leadership(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         if leader.announced || self.delivered < leader.first_index {
             return;
@@ -63,18 +63,19 @@
         self.outputs.committed.push(Committed::Leadership(Leadership::Leader { term }));
     }
 
-    fn answer_reads(&mut self) {
+    fn complete_reads(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         for read in leader.reads.take_ready(self.delivered) {
             self.outputs.committed.push(Committed::ReadReady { read });
         }
     }
 
-    fn ask_for_snapshot(&mut self) {
-        let held = self.snapshot.as_ref().map_or(LogIndex::default(), |held| held.last.index);
-        let behind = self.delivered.get().saturating_sub(held.get());
-        if self.snapshot_wanted.is_none() && behind >= self.settings.snapshot_entry_count {
-            self.snapshot_wanted = Some(self.delivered);
+    fn request_snapshot(&mut self) {
+        let snapshot_index =
+            self.snapshot.as_ref().map_or(LogIndex::default(), |snapshot| snapshot.last.index);
+        let behind = self.delivered.get().saturating_sub(snapshot_index.get());
+        if self.snapshot_requested_at.is_none() && behind >= self.settings.snapshot_entry_count {
+            self.snapshot_requested_at = Some(self.delivered);
             self.outputs.committed.push(Committed::SnapshotRequested { index: self.delivered });
         }
     }
--- a/crates/yuccatack_replication/src/state/election.rs
+++ b/crates/yuccatack_replication/src/state/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes and the change of role.
+//! Elections: pre-votes, votes and the change of role.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
 use crate::message::{Message, MessageBody};
 use crate::persistence::HardState;
 
-/// The votes of one election.
+/// Votes of one election or pre-vote.
 #[derive(Debug, Default)]
-pub(super) struct Ballot {
+pub(super) struct VoteTally {
     votes: BTreeMap<ReplicaId, bool>,
-    /// The batch that makes the own vote durable; the own vote counts after it.
+    /// Sequence number of the batch with the own vote, which counts once the batch is synced.
     own_vote_sequence: u64,
 }
 
@@ -28,7 +28,7 @@
 
     pub(super) fn on_election_timeout(&mut self) {
         self.reset_election_deadline();
-        if !self.may_campaign() {
+        if !self.may_start_election() {
             return;
         }
         if self.leader.is_some() {
@@ -38,10 +38,10 @@
     }
 
     fn start_pre_vote(&mut self) {
-        let mut ballot = Ballot::default();
-        ballot.votes.insert(self.settings.replica, true);
-        self.role = Role::PreCandidate(ballot);
-        if !self.proceed_if_elected() {
+        let mut tally = VoteTally::default();
+        tally.votes.insert(self.settings.replica, true);
+        self.role = Role::PreCandidate(tally);
+        if !self.advance_on_quorum() {
             self.request_votes(true, false);
         }
     }
@@ -54,7 +54,7 @@
         };
         self.set_hard_state(hard_state);
         let own_vote_sequence = self.hard_state_sequence;
-        self.role = Role::Candidate(Ballot { votes: BTreeMap::new(), own_vote_sequence });
+        self.role = Role::Candidate(VoteTally { votes: BTreeMap::new(), own_vote_sequence });
         self.reset_election_deadline();
         self.request_votes(false, transfer);
     }
@@ -63,9 +63,9 @@
     pub(super) fn count_own_vote(&mut self) {
         let own = self.settings.replica;
         let synced = self.synced_sequence;
-        let Role::Candidate(ballot) = &mut self.role else { return };
-        if synced >= ballot.own_vote_sequence && ballot.votes.insert(own, true).is_none() {
-            self.proceed_if_elected();
+        let Role::Candidate(tally) = &mut self.role else { return };
+        if synced >= tally.own_vote_sequence && tally.votes.insert(own, true).is_none() {
+            self.advance_on_quorum();
         }
     }
 
@@ -87,7 +87,8 @@
         voters.filter(|(replica, _)| *replica != self.settings.replica).collect()
     }
 
-    /// Whether a leader was heard of too recently for another election to be useful.
+    /// Returns `true` if a leader was in contact within the last election timeout, so that no other
+    /// election is needed.
     fn has_recent_leader(&self) -> bool {
         if self.is_leader() {
             return true;
@@ -102,7 +103,7 @@
         let MessageBody::VoteRequest { for_term, pre_vote, transfer, last } = message.body else {
             return;
         };
-        // A vote is given by the data folder that the candidate's membership names, or not at all.
+        // Only the data folder that the candidate's membership names may vote.
         if message.to_incarnation != self.incarnation() {
             return;
         }
@@ -142,22 +143,22 @@
     ) {
         let current = self.hard_state.term;
         match &mut self.role {
-            Role::PreCandidate(ballot) if pre_vote && for_term == current.next() => {
-                ballot.votes.insert(from, granted);
+            Role::PreCandidate(tally) if pre_vote && for_term == current.next() => {
+                tally.votes.insert(from, granted);
             }
-            Role::Candidate(ballot) if !pre_vote && for_term == current => {
-                ballot.votes.insert(from, granted);
+            Role::Candidate(tally) if !pre_vote && for_term == current => {
+                tally.votes.insert(from, granted);
             }
             _ => return,
         }
-        self.proceed_if_elected();
+        self.advance_on_quorum();
     }
 
-    fn proceed_if_elected(&mut self) -> bool {
-        let (Role::PreCandidate(ballot) | Role::Candidate(ballot)) = &self.role else {
+    fn advance_on_quorum(&mut self) -> bool {
+        let (Role::PreCandidate(tally) | Role::Candidate(tally)) = &self.role else {
             return false;
         };
-        let granted = |replica| ballot.votes.get(&replica) == Some(&true);
+        let granted = |replica| tally.votes.get(&replica) == Some(&true);
         if !self.membership().has_quorum(granted) {
             return false;
         }
@@ -173,7 +174,7 @@
         log::info!(
             event = "leader_elected", replica = self.settings.replica.get(),
             term = self.hard_state.term.get();
-            "this replica leads"
+            "this replica was elected leader"
         );
         self.leader = Some(self.settings.replica);
         let state = LeaderState::new(self.now, self.log.last().index.next());
@@ -182,7 +183,7 @@
     }
 
     pub(super) fn on_timeout_now(&mut self, from: ReplicaId) {
-        if self.leader == Some(from) && self.may_campaign() && !self.is_leader() {
+        if self.leader == Some(from) && self.may_start_election() && !self.is_leader() {
             self.start_election(true);
         }
     }
--- a/crates/yuccatack_replication/src/state/follower.rs
+++ b/crates/yuccatack_replication/src/state/follower.rs
@@ -1,4 +1,4 @@
-//! Following a leader: entries, heartbeats and the commit index.
+//! Follower: handles entries and heartbeats of the leader and advances the commit index.
 
 use yuccatack_core::Incarnation;
 
@@ -9,14 +9,14 @@
 use crate::replicated_log::{EntryPayload, LogEntry, LogPosition};
 
 impl Replica {
-    /// Accepts `leader` as the leader of the present term.
+    /// Accepts `leader` as the leader of the current term.
     pub(super) fn follow(&mut self, leader: ReplicaId) {
         assert!(!self.is_leader(), "two leaders in term {}", self.hard_state.term);
         let known = self.leader == Some(leader) && matches!(self.role, Role::Follower);
         if known {
             self.reset_election_deadline();
         } else {
-            self.forget_incoming_snapshot();
+            self.discard_incoming_snapshot();
             self.become_follower(self.hard_state.term, Some(leader));
         }
         self.last_leader_contact = Some(self.now);
@@ -42,7 +42,7 @@
     }
 
     fn reject(&self, previous: LogPosition) -> Option<AppendOutcome> {
-        // Everything up to the commit index agrees with every later leader.
+        // All entries up to the commit index match the log of every later leader.
         if previous.index <= self.commit || self.log.term_at(previous.index) == Some(previous.term)
         {
             return None;
@@ -63,7 +63,7 @@
                 if self.log.term_at(entry.index) == Some(entry.term) {
                     continue;
                 }
-                memberships_changed |= self.cut_conflict(entry.index);
+                memberships_changed |= self.truncate_conflict(entry.index);
             }
             memberships_changed |= matches!(entry.payload, EntryPayload::Membership(_));
             self.log.push(entry.clone());
@@ -79,16 +79,16 @@
 
     fn assert_committed_agrees(&self, entry: &LogEntry) {
         let agrees = self.log.term_at(entry.index).is_none_or(|term| term == entry.term);
-        assert!(agrees, "the leader would change committed entry {}", entry.index);
+        assert!(agrees, "the leader's entry {} differs from the committed one", entry.index);
     }
 
-    /// Removes the entries from `index` on; returns whether that may have removed a membership.
-    fn cut_conflict(&mut self, index: LogIndex) -> bool {
+    /// Removes the entries from `index` on; returns `true` if that may have removed a membership.
+    fn truncate_conflict(&mut self, index: LogIndex) -> bool {
         let last_kept = index.previous();
         if last_kept >= self.log.last().index {
             return false;
         }
-        assert!(last_kept >= self.commit, "a committed entry would be removed");
+        assert!(last_kept >= self.commit, "truncation after {last_kept} removes committed entries");
         self.log.truncate_after(last_kept);
         self.synced_index = self.synced_index.min(last_kept);
         for (_, covered) in &mut self.unsynced {
@@ -104,7 +104,8 @@
         commit: LogIndex,
         round: u64,
     ) {
-        // The leader sends no more than what this replica acknowledged in the leader's term.
+        // The leader never sends a commit index above the index that this replica has acknowledged
+        // in the leader's term.
         if commit <= self.log.last().index {
             self.advance_commit_to(commit);
         }
@@ -116,7 +117,7 @@
         if commit <= self.commit {
             return;
         }
-        assert!(commit <= self.log.last().index, "the commit index is beyond the log");
+        assert!(commit <= self.log.last().index, "commit index {commit} is beyond the log");
         self.commit = commit;
     }
 }
--- a/crates/yuccatack_replication/src/state/formation.rs
+++ b/crates/yuccatack_replication/src/state/formation.rs
@@ -1,9 +1,10 @@
-//! Forming a new cluster, and telling members from strangers.
+//! Formation of a new cluster, and checks that a message belongs to this cluster.
 //!
-//! A new data folder cannot tell whether its replica is new or was wiped. So a cluster is formed
-//! only once, by the initial voter with the lowest number, after every initial voter has said that
-//! it belongs to no cluster. Its first log entry binds each voter's number to the incarnation of
-//! its data folder, and a replica counts answers only from the bound incarnation.
+//! An empty data folder does not show if its replica is new or has lost its data. A cluster is
+//! therefore formed only once, by its founder: the initial voter with the lowest number. It forms
+//! the cluster after every initial voter has reported that it belongs to no cluster. The first log
+//! entry binds each voter's number to the incarnation of its data folder, and a replica counts
+//! responses only from the bound incarnation.
 
 use std::collections::BTreeMap;
 
@@ -16,27 +17,30 @@
 use crate::persistence::{HardState, PersistOperation};
 use crate::replicated_log::{EntryPayload, LogEntry};
 
-/// What the forming replica has learned.
+/// State of a replica that belongs to no cluster yet.
 #[derive(Debug)]
-pub(super) struct Forming {
-    known: BTreeMap<ReplicaId, Incarnation>,
+pub(super) struct Formation {
+    known_incarnations: BTreeMap<ReplicaId, Incarnation>,
     pub next_hello: TimestampMs,
-    /// The forming replica that this one answered last; only its cluster may be joined.
-    answered: Option<Incarnation>,
+    /// Incarnation of the founder that this replica responded to last; only its cluster may be
+    /// joined.
+    answered_founder: Option<Incarnation>,
 }
 
 impl Replica {
-    pub(super) fn start_forming_if_new(&mut self) {
-        // A founder that ended between writing its hard state and its first entry has told nobody
-        // of its cluster, because messages wait for both writes.
+    pub(super) fn start_formation_if_new(&mut self) {
+        // A founder that stopped between writing its hard state and its first entry forms the
+        // cluster again. No other replica knows the cluster, as messages wait for both writes.
         let own_cluster = ClusterId::new(self.settings.incarnation.get());
-        let founded_in_vain =
+        let formation_incomplete =
             self.cluster() == own_cluster && self.log.last().index == LogIndex::default();
-        if self.cluster() != ClusterId::NONE && !founded_in_vain {
+        if self.cluster() != ClusterId::NONE && !formation_incomplete {
             return;
         }
-        let known = BTreeMap::from([(self.settings.replica, self.settings.incarnation)]);
-        self.forming = Some(Forming { known, next_hello: self.now, answered: None });
+        let known_incarnations =
+            BTreeMap::from([(self.settings.replica, self.settings.incarnation)]);
+        self.formation =
+            Some(Formation { known_incarnations, next_hello: self.now, answered_founder: None });
         self.form_if_complete();
     }
 
@@ -44,13 +48,13 @@
         self.settings.initial_voters.keys().next() == Some(&self.settings.replica)
     }
 
-    pub(super) fn form_on_time(&mut self) {
+    pub(super) fn run_formation_timers(&mut self) {
         let founder = self.is_founder();
-        let Some(forming) = &mut self.forming else { return };
-        if self.now < forming.next_hello {
+        let Some(formation) = &mut self.formation else { return };
+        if self.now < formation.next_hello {
             return;
         }
-        forming.next_hello = self.now + self.settings.election_timeout;
+        formation.next_hello = self.now + self.settings.election_timeout;
         if !founder {
             return;
         }
@@ -58,7 +62,7 @@
             .settings
             .initial_voters
             .keys()
-            .filter(|replica| !forming.known.contains_key(replica))
+            .filter(|replica| !formation.known_incarnations.contains_key(replica))
             .copied()
             .collect();
         for replica in unknown {
@@ -67,8 +71,8 @@
     }
 
     pub(super) fn on_hello(&mut self, message: &Message) {
-        if let Some(forming) = &mut self.forming {
-            forming.answered = Some(message.from_incarnation);
+        if let Some(formation) = &mut self.formation {
+            formation.answered_founder = Some(message.from_incarnation);
         }
         self.send_after_hard_state(message.from, message.from_incarnation, MessageBody::HelloReply);
     }
@@ -77,18 +81,18 @@
         if !self.is_founder() {
             return;
         }
-        let Some(forming) = &mut self.forming else { return };
+        let Some(formation) = &mut self.formation else { return };
         if message.cluster != ClusterId::NONE {
-            // The cluster exists, so this folder is a stranger until a leader adds it.
+            // The cluster exists, so this data folder is not a member until a leader adds it.
             log::warn!(
                 event = "cluster_exists", replica = self.settings.replica.get();
-                "the cluster was formed with another data folder of this replica; remove the old \
-                 member and add this replica as a learner"
+                "the cluster was formed with another data folder of this replica, so this replica \
+                 stays outside; remove the old member and add this replica as a learner"
             );
-            forming.known.clear();
+            formation.known_incarnations.clear();
             return;
         }
-        forming.known.insert(message.from, message.from_incarnation);
+        formation.known_incarnations.insert(message.from, message.from_incarnation);
         self.form_if_complete();
     }
 
@@ -96,17 +100,17 @@
         if !self.is_founder() {
             return;
         }
-        let Some(forming) = &self.forming else { return };
+        let Some(formation) = &self.formation else { return };
         let mut voters = BTreeMap::new();
         for (replica, address) in &self.settings.initial_voters {
-            let Some(incarnation) = forming.known.get(replica) else { return };
+            let Some(incarnation) = formation.known_incarnations.get(replica) else { return };
             voters.insert(*replica, Member { address: *address, incarnation: *incarnation });
         }
         self.form(Membership { voters, ..Membership::default() });
     }
 
     fn form(&mut self, membership: Membership) {
-        self.forming = None;
+        self.formation = None;
         let term = Term::new(1);
         let cluster = ClusterId::new(self.settings.incarnation.get());
         self.set_hard_state(HardState { term, voted_for: self.settings.replica, cluster });
@@ -118,17 +122,18 @@
         self.log.push(entry.clone());
         self.operations.push(PersistOperation::Append(vec![entry]));
         self.reload_memberships();
-        // Nobody else can lead yet, so there is nothing to wait for.
+        // No other replica can become leader yet, so the election need not wait for a timeout.
         self.election_deadline = self.now;
     }
 
     fn join(&mut self, cluster: ClusterId) {
-        self.forming = None;
+        self.formation = None;
         let HardState { term, voted_for, .. } = self.hard_state;
         self.set_hard_state(HardState { term, voted_for, cluster });
     }
 
-    /// Whether a message concerns this data folder and comes from the one it claims to.
+    /// Returns `true` if a message is addressed to this data folder and cluster, and its sender is
+    /// valid. A replica without a cluster joins that of the sender if the message allows it.
     pub(super) fn accepts(&mut self, message: &Message) -> bool {
         if message.to != self.settings.replica {
             return false;
@@ -150,35 +155,37 @@
         if message.cluster != self.cluster() {
             return false;
         }
-        self.sender_is_genuine(message)
+        self.response_matches_membership(message)
     }
 
     fn may_join(&self, message: &Message, for_this_folder: bool) -> bool {
-        let Some(forming) = &self.forming else { return false };
-        let answered_other =
-            forming.answered.is_some_and(|incarnation| incarnation.get() != message.cluster.get());
+        let Some(formation) = &self.formation else { return false };
+        let answered_other_founder = formation
+            .answered_founder
+            .is_some_and(|incarnation| incarnation.get() != message.cluster.get());
         match message.body {
-            MessageBody::VoteRequest { .. } => for_this_folder && !answered_other,
+            MessageBody::VoteRequest { .. } => for_this_folder && !answered_other_founder,
             MessageBody::Append { .. }
             | MessageBody::Heartbeat { .. }
-            | MessageBody::SnapshotChunk { .. } => !for_this_folder || !answered_other,
+            | MessageBody::SnapshotChunk { .. } => !for_this_folder || !answered_other_founder,
             _ => false,
         }
     }
 
-    /// Whether an answer comes from the data folder that the membership names.
+    /// Returns `true` unless a voter's response comes from another data folder than the membership
+    /// names.
     ///
-    /// Requests are not checked: the sender may be a newer member than this replica knows, and
-    /// whoever gets the answer counts it by its own membership.
-    fn sender_is_genuine(&self, message: &Message) -> bool {
-        let is_answer = matches!(
+    /// Requests are not checked: the sender may belong to a newer membership than this replica
+    /// knows, and the receiver of the response counts it by its own membership.
+    fn response_matches_membership(&self, message: &Message) -> bool {
+        let is_response = matches!(
             message.body,
             MessageBody::VoteResponse { .. }
                 | MessageBody::AppendResponse(_)
                 | MessageBody::HeartbeatResponse { .. }
                 | MessageBody::SnapshotResponse { .. }
         );
-        if !is_answer {
+        if !is_response {
             return true;
         }
         match self.membership().voter(message.from) {
--- a/crates/yuccatack_replication/src/state/hashes.rs
+++ b/crates/yuccatack_replication/src/state/hashes.rs
@@ -1,4 +1,4 @@
-//! Comparing the replicated state between replicas.
+//! Detection of diverged replicated state by comparing hashes between replicas.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use crate::identifiers::{LogIndex, ReplicaId};
 use crate::message::MessageBody;
 
-/// How many of the newest hashes are kept for replicas that report theirs later.
+/// Number of entries whose hashes are kept for replicas that report theirs later.
 const KEPT_HASH_COUNT: usize = 64;
 
-/// The newest hashes by entry and replica.
+/// Newest reported hashes by entry and replica.
 #[derive(Debug, Default)]
 pub(super) struct StateHashes {
     reported: BTreeMap<LogIndex, BTreeMap<ReplicaId, u64>>,
@@ -26,9 +26,13 @@
         }
     }
 
-    /// The first replica, other than `own`, whose hash differs from that of `own`, with the number
-    /// of such replicas.
-    fn difference(&self, index: LogIndex, own: ReplicaId) -> Option<(u64, ReplicaId, u64, usize)> {
+    /// Returns the own hash, the first replica with a different hash, that hash, and the number of
+    /// replicas with different hashes.
+    fn first_difference(
+        &self,
+        index: LogIndex,
+        own: ReplicaId,
+    ) -> Option<(u64, ReplicaId, u64, usize)> {
         let hashes = self.reported.get(&index)?;
         let own_hash = *hashes.get(&own)?;
         let differing: Vec<_> = hashes.iter().filter(|(_, hash)| **hash != own_hash).collect();
@@ -66,16 +70,17 @@
         self.compare_hashes(index);
     }
 
-    /// A follower that differs from its leader stops; a leader stops when a majority of voters
-    /// differs from it.
+    /// Stops a follower whose hash differs from that of its leader, and a leader whose hash differs
+    /// from those of a majority of voters.
     fn compare_hashes(&mut self, index: LogIndex) {
         let own_replica = self.settings.replica;
-        let Some((own, replica, other, count)) = self.hashes.difference(index, own_replica) else {
+        let Some((own, replica, other, count)) = self.hashes.first_difference(index, own_replica)
+        else {
             return;
         };
         if self.is_leader() {
             if count > self.membership().voters.len() / 2 {
-                self.stop_with(ReplicaFailure::StateDiverged { index, own, other, replica });
+                self.fail_with(ReplicaFailure::StateDiverged { index, own, other, replica });
             }
             return;
         }
@@ -83,7 +88,7 @@
         let Some(other) = self.hashes.hash_of(index, leader) else { return };
         if other != own {
             let replica = leader;
-            self.stop_with(ReplicaFailure::StateDiverged { index, own, other, replica });
+            self.fail_with(ReplicaFailure::StateDiverged { index, own, other, replica });
         }
     }
 }
--- a/crates/yuccatack_replication/src/state/input.rs
+++ b/crates/yuccatack_replication/src/state/input.rs
@@ -1,4 +1,4 @@
-//! What a replica is told.
+//! Settings and inputs of the state machine.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,72 +10,72 @@
 use crate::membership::MembershipChange;
 use crate::message::Message;
 
-/// Who the replica is and how fast it reacts.
+/// Identity, timing and limits of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// The number of the replica.
+    /// Number of the replica; never reused within a deployment.
     pub replica: ReplicaId,
-    /// The incarnation of its data folder.
+    /// Incarnation of the replica's data folder.
     pub incarnation: Incarnation,
-    /// Where it answers.
+    /// Address on which the replica accepts messages.
     pub address: SocketAddr,
-    /// The voters with which a new deployment starts.
+    /// Voters of a new deployment.
     pub initial_voters: BTreeMap<ReplicaId, SocketAddr>,
-    /// How often a leader sends a heartbeat.
+    /// Interval between the heartbeats of a leader.
     pub heartbeat: DurationMs,
-    /// The shortest election timeout; the longest is twice as long.
+    /// Lower bound of the randomised election timeout; the upper bound is twice as high.
     pub election_timeout: DurationMs,
-    /// How many entries are delivered before a snapshot is asked for.
+    /// Number of entries that are delivered before the next snapshot is requested.
     pub snapshot_entry_count: u64,
-    /// How many bytes of entries one message carries.
+    /// Maximum size of the entries in one message; a larger single entry is sent alone.
     pub append_limit_bytes: usize,
 }
 
-/// One input of the state machine.
+/// Input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed.
+    /// Time has advanced; checks all deadlines.
     Tick,
-    /// A message arrived.
+    /// A message from another replica has arrived.
     Message(Message),
-    /// All writes up to and including this batch are on disk.
+    /// All writes up to and including a batch are on disk.
     Synced {
-        /// The number of the batch.
+        /// Sequence number of the batch.
         sequence: u64,
     },
-    /// A command to append.
+    /// Proposes a command.
     Propose {
-        /// The proposer's number for it.
+        /// Number that the proposer gave to the proposal.
         proposal: ProposalId,
-        /// The command.
+        /// Encoded command.
         payload: Bytes,
     },
-    /// A linearizable read.
+    /// Requests a linearizable read.
     Read {
-        /// The reader's number for it.
+        /// Number that the reader gave to the read.
         read: ReadId,
     },
-    /// The state as of an index.
+    /// Provides the replicated state as of an index, for a snapshot.
     StoreSnapshot {
-        /// The last entry included.
+        /// Index of the last entry that the state includes.
         index: LogIndex,
-        /// The state.
+        /// Encoded state.
         payload: Bytes,
     },
-    /// The hash of the state after an entry.
+    /// Provides the hash of the replicated state after an entry.
     StateHash {
-        /// The entry.
+        /// Index of the entry.
         index: LogIndex,
-        /// The hash.
+        /// Hash of the state after that entry.
         hash: u64,
     },
-    /// A change of membership.
+    /// Requests a membership change.
     ChangeMembership {
-        /// The requester's number for it.
+        /// Number that the requester gave to the change.
         number: ChangeNumber,
-        /// The change.
+        /// Requested change.
         change: MembershipChange,
     },
-    /// Hand the lead to the most advanced other voter.
+    /// Requests the transfer of leadership to the most up-to-date other voter.
     TransferLeadership,
 }
--- a/crates/yuccatack_replication/src/state/leader.rs
+++ b/crates/yuccatack_replication/src/state/leader.rs
@@ -1,4 +1,4 @@
-//! Leading: appending proposals, replicating them and advancing the commit index.
+//! Leader: appends proposals, replicates them and advances the commit index.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use yuccatack_core::{Incarnation, TimestampMs};
 
 use super::membership_change::ActiveChange;
-use super::progress::{Mode, Progress, Transfer, WINDOW_ENTRY_COUNT};
+use super::progress::{Mode, Progress, SnapshotTransfer, WINDOW_ENTRY_COUNT};
 use super::reads::ReadQueue;
 use super::{Replica, Role};
 use crate::committed::{Committed, ProposalFailure};
@@ -16,27 +16,27 @@
 use crate::persistence::{PersistOperation, StateSnapshot};
 use crate::replicated_log::{EntryPayload, Log, LogEntry, LogPosition};
 
-/// A planned change of leader.
+/// Leadership transfer in progress.
 #[derive(Debug)]
-pub(super) struct Handover {
+pub(super) struct LeadershipTransfer {
     pub target: ReplicaId,
     deadline: TimestampMs,
     requested: bool,
 }
 
-/// What only a leader has.
+/// State that only a leader has.
 #[derive(Debug)]
 pub(super) struct LeaderState {
     pub next_heartbeat: TimestampMs,
     pub progress: BTreeMap<ReplicaId, Progress>,
-    /// The first entry of the own term; reads wait until it is committed.
+    /// Index of the first entry of the leader's own term; reads wait until it is committed.
     pub first_index: LogIndex,
-    /// Whether the user was told that this replica leads.
+    /// `true` once the user of the log has been notified of the leadership.
     pub announced: bool,
     pub proposals: BTreeMap<LogIndex, ProposalId>,
     pub reads: ReadQueue,
     pub change: Option<ActiveChange>,
-    pub handover: Option<Handover>,
+    pub transfer: Option<LeadershipTransfer>,
 }
 
 impl LeaderState {
@@ -49,7 +49,7 @@
             proposals: BTreeMap::new(),
             reads: ReadQueue::default(),
             change: None,
-            handover: None,
+            transfer: None,
         }
     }
 }
@@ -95,8 +95,9 @@
     }
 
     pub(super) fn on_propose(&mut self, proposal: ProposalId, payload: Bytes) {
-        let open = matches!(&self.role, Role::Leader(leader) if leader.handover.is_none());
-        if !open {
+        let accepts_proposals =
+            matches!(&self.role, Role::Leader(leader) if leader.transfer.is_none());
+        if !accepts_proposals {
             let leader_address = self.leader_address();
             let failure = ProposalFailure::NotLeader { leader_address };
             self.outputs.committed.push(Committed::ProposalFailed { proposal, failure });
@@ -108,13 +109,13 @@
         }
     }
 
-    /// Reports everything that waits for this leader as unanswered.
+    /// Reports all pending proposals, reads and membership changes as failed.
     pub(super) fn fail_pending(&mut self, state: LeaderState) {
         for proposal in state.proposals.into_values() {
             let failure = ProposalFailure::Unknown;
             self.outputs.committed.push(Committed::ProposalFailed { proposal, failure });
         }
-        for read in state.reads.into_unanswered() {
+        for read in state.reads.into_pending() {
             self.fail_read(read);
         }
         if let Some(change) = state.change {
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Gives up the lead when a quorum has been silent for an election timeout.
-    pub(super) fn check_quorum_contact(&mut self) {
+    /// Steps down if no quorum has responded within an election timeout.
+    pub(super) fn check_quorum(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let own = self.settings.replica;
         let in_contact = |replica: ReplicaId| {
@@ -135,17 +136,17 @@
         if !self.membership().has_quorum(in_contact) {
             log::warn!(
                 event = "quorum_lost", replica = own.get(), term = self.hard_state.term.get();
-                "no contact with a quorum for an election timeout; giving up the lead"
+                "no quorum has responded within the election timeout; this replica steps down"
             );
             self.become_follower(self.hard_state.term, None);
         }
     }
 
-    pub(super) fn lead_on_time(&mut self) {
+    pub(super) fn run_leader_timers(&mut self) {
         self.continue_change();
         let Role::Leader(leader) = &mut self.role else { return };
-        if leader.handover.as_ref().is_some_and(|handover| self.now >= handover.deadline) {
-            leader.handover = None;
+        if leader.transfer.as_ref().is_some_and(|transfer| self.now >= transfer.deadline) {
+            leader.transfer = None;
         }
         if self.now < leader.next_heartbeat {
             return;
@@ -156,7 +157,7 @@
                 self.memberships[self.memberships.len() - 1].1.voter(*replica).is_none();
             let silent = self.now.since(progress.last_response) > self.settings.election_timeout;
             if is_learner && silent && progress.incarnation != Incarnation::default() {
-                // The learner's folder may have been replaced; its successor answers to any.
+                // The learner's data folder may have been replaced; 0 reaches any folder.
                 let next = self.log.last().index.next();
                 *progress = Progress::new(Incarnation::default(), next, self.now);
             }
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Sends every member what it lacks.
+    /// Sends every member the entries or the snapshot that it lacks.
     pub(super) fn replicate(&mut self) {
         self.start_read_round();
         let Role::Leader(leader) = &mut self.role else { return };
@@ -189,7 +190,8 @@
         for (replica, progress) in &mut leader.progress {
             let incarnation = progress.incarnation;
             let limit_bytes = self.settings.append_limit_bytes;
-            let source = Source { log: &self.log, snapshot: self.snapshot.as_ref(), limit_bytes };
+            let source =
+                EntrySource { log: &self.log, snapshot: self.snapshot.as_ref(), limit_bytes };
             while let Some(body) = next_message(progress, &source, self.commit, self.now) {
                 messages.push((*replica, incarnation, body));
             }
@@ -199,8 +201,8 @@
         }
     }
 
-    /// The progress that an answer is about, after noting that the member is alive.
-    pub(super) fn answered(
+    /// Records the response of a member and returns its progress.
+    pub(super) fn progress_of_responder(
         &mut self,
         from: ReplicaId,
         incarnation: Incarnation,
@@ -226,41 +228,41 @@
     ) {
         let now = self.now;
         let last = self.log.last().index;
-        let agreed = match outcome {
+        let match_index = match outcome {
             AppendOutcome::Rejected { hint, .. } => {
                 self.log.last_with_term_up_to(hint.index, hint.term).index
             }
             AppendOutcome::Accepted { matched } => matched,
         };
-        let Some(progress) = self.answered(from, incarnation) else { return };
+        let Some(progress) = self.progress_of_responder(from, incarnation) else { return };
         match outcome {
             AppendOutcome::Accepted { matched } => {
-                assert!(matched <= last, "replica {from} acknowledged what was never sent");
+                assert!(matched <= last, "replica {from} acknowledged {matched}, beyond the log");
                 progress.accept(matched, now);
             }
             AppendOutcome::Rejected { previous, .. } => {
                 if previous > progress.matched && previous < progress.next {
-                    progress.reject(agreed.min(previous.previous()));
+                    progress.reject(match_index.min(previous.previous()));
                 }
             }
         }
         self.advance_commit();
-        self.continue_handover();
+        self.continue_transfer();
         self.continue_change();
     }
 
-    /// Commits what a quorum holds on disk, if it is of the own term.
+    /// Advances the commit index to the last entry of the own term that a quorum holds on disk.
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let own = self.settings.replica;
-        let held = |replica: ReplicaId| {
+        let synced_index_of = |replica: ReplicaId| {
             if replica == own {
                 return self.synced_index;
             }
             leader.progress.get(&replica).map_or(LogIndex::default(), |progress| progress.matched)
         };
-        let index = self.membership().quorum_index(held);
-        // An entry of an older term can still be replaced although a quorum holds it.
+        let index = self.membership().quorum_index(synced_index_of);
+        // An entry of an older term can still be replaced even if a quorum holds it.
         if index > self.commit && self.log.term_at(index) == Some(self.hard_state.term) {
             self.advance_commit_to(index);
             self.on_commit_advanced();
@@ -271,58 +273,58 @@
         let deadline = self.now + self.settings.election_timeout;
         let Some((target, _)) = self.most_advanced_voter() else { return };
         if let Role::Leader(leader) = &mut self.role {
-            leader.handover = Some(Handover { target, deadline, requested: false });
-            self.continue_handover();
+            leader.transfer = Some(LeadershipTransfer { target, deadline, requested: false });
+            self.continue_transfer();
         }
     }
 
-    /// The other voter that answered lately and holds most of the log.
+    /// Returns the other voter with the longest matching log among those that responded recently.
     fn most_advanced_voter(&self) -> Option<(ReplicaId, Incarnation)> {
         let Role::Leader(leader) = &self.role else { return None };
-        let recent = |progress: &Progress| {
+        let responded_recently = |progress: &Progress| {
             self.now.since(progress.last_response) <= self.settings.election_timeout
         };
         let voters = self.membership().voters.keys();
         voters
             .filter_map(|replica| leader.progress.get(replica).map(|progress| (replica, progress)))
-            .filter(|(_, progress)| recent(progress))
+            .filter(|(_, progress)| responded_recently(progress))
             .max_by_key(|(_, progress)| progress.matched)
             .map(|(replica, progress)| (*replica, progress.incarnation))
     }
 
-    /// Asks another voter to take over from a leader that was removed.
-    pub(super) fn name_successor(&mut self) {
+    /// Requests another voter to start an election, after the removal of this leader.
+    pub(super) fn request_successor_election(&mut self) {
         if let Some((target, incarnation)) = self.most_advanced_voter() {
             self.send_now(target, incarnation, MessageBody::TimeoutNow);
         }
     }
 
-    fn continue_handover(&mut self) {
+    fn continue_transfer(&mut self) {
         let last = self.log.last().index;
         let Role::Leader(leader) = &mut self.role else { return };
-        let Some(handover) = &mut leader.handover else { return };
-        let target = handover.target;
+        let Some(transfer) = &mut leader.transfer else { return };
+        let target = transfer.target;
         let Some(progress) = leader.progress.get(&target) else { return };
-        if handover.requested || progress.matched < last {
+        if transfer.requested || progress.matched < last {
             return;
         }
-        handover.requested = true;
+        transfer.requested = true;
         let incarnation = progress.incarnation;
         self.send_now(target, incarnation, MessageBody::TimeoutNow);
     }
 }
 
-/// What a member is brought up to date from.
-struct Source<'a> {
+/// Source of the entries or the snapshot that members lack.
+struct EntrySource<'a> {
     log: &'a Log,
     snapshot: Option<&'a StateSnapshot>,
     limit_bytes: usize,
 }
 
-/// The next message that brings a member forward, if one may be sent now.
+/// Returns the next message that brings a member up to date, if one may be sent now.
 fn next_message(
     progress: &mut Progress,
-    source: &Source<'_>,
+    source: &EntrySource<'_>,
     commit: LogIndex,
     now: TimestampMs,
 ) -> Option<MessageBody> {
@@ -331,7 +333,8 @@
     let term = log.term_at(previous);
     if term.is_none() && !matches!(progress.mode, Mode::Snapshot(_)) {
         let snapshot = source.snapshot?.clone();
-        progress.mode = Mode::Snapshot(Transfer { snapshot, offset_bytes: 0, sent_at: None });
+        progress.mode =
+            Mode::Snapshot(SnapshotTransfer { snapshot, offset_bytes: 0, sent_at: None });
     }
     match &mut progress.mode {
         Mode::Snapshot(transfer) => return transfer.next_chunk(now),
--- a/crates/yuccatack_replication/src/state/membership_change.rs
+++ b/crates/yuccatack_replication/src/state/membership_change.rs
@@ -1,7 +1,7 @@
-//! Changes of membership, one at a time.
+//! Membership changes, one at a time.
 //!
-//! A change of voters passes through a joint membership in which both the old and the new voters
-//! must agree, because a promotion that replaces a failed voter changes two members at once.
+//! A change of voters passes through a joint membership, in which both the old and the new voters
+//! must agree: a promotion that replaces a failed voter changes two members at once.
 
 use std::net::SocketAddr;
 
@@ -13,18 +13,18 @@
 use crate::membership::{Member, Membership, MembershipChange};
 use crate::replicated_log::EntryPayload;
 
-/// How many election timeouts a promotion waits for the learner to catch up.
-const PROMOTION_PATIENCE: u64 = 10;
+/// Number of election timeouts that a promotion waits for the learner to catch up.
+const PROMOTION_TIMEOUT_FACTOR: u64 = 10;
 
-/// A change that was requested and is not committed yet.
+/// Requested change that is not committed yet.
 #[derive(Debug)]
 pub(super) struct ActiveChange {
     pub number: ChangeNumber,
     change: MembershipChange,
-    /// The commit index when the change was requested.
+    /// Commit index at the time of the request.
     needed: LogIndex,
     deadline: TimestampMs,
-    /// Whether the change is in the log.
+    /// `true` once the change is in the log.
     appended: bool,
 }
 
@@ -48,12 +48,12 @@
         let settled = self.membership().outgoing.is_none()
             && self.membership_index() <= self.commit
             && self.commit >= leader.first_index;
-        if leader.change.is_some() || leader.handover.is_some() || !settled {
+        if leader.change.is_some() || leader.transfer.is_some() || !settled {
             return Err(ChangeError::InProgress);
         }
-        resulting(self.membership(), change, Incarnation::default())?;
-        let patience_ms = PROMOTION_PATIENCE * self.settings.election_timeout.get();
-        let deadline = self.now + yuccatack_core::DurationMs::new(patience_ms);
+        apply_change(self.membership(), change, Incarnation::default())?;
+        let timeout_ms = PROMOTION_TIMEOUT_FACTOR * self.settings.election_timeout.get();
+        let deadline = self.now + yuccatack_core::DurationMs::new(timeout_ms);
         let needed = self.commit;
         let active = ActiveChange { number, change, needed, deadline, appended: false };
         if let Role::Leader(leader) = &mut self.role {
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Appends the requested change once its condition holds, or gives it up after its deadline.
+    /// Appends the requested change once its conditions are met, or fails it after its deadline.
     pub(super) fn continue_change(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let Some(active) = &leader.change else { return };
@@ -83,14 +83,14 @@
         }
     }
 
-    /// The membership to append, if what the change requires holds now.
+    /// Returns the membership to append, or the condition that the change does not meet.
     fn ready_membership(&self, active: &ActiveChange) -> Result<Membership, ChangeError> {
         let mut incarnation = Incarnation::default();
         if let MembershipChange::Promote { replica, .. } = active.change {
             incarnation = self.caught_up_incarnation(replica, active.needed)?;
         }
-        let next = resulting(self.membership(), active.change, incarnation)?;
-        self.require_holders(&next, active.needed)?;
+        let next = apply_change(self.membership(), active.change, incarnation)?;
+        self.require_quorum_holds(&next, active.needed)?;
         if next.voters == self.membership().voters {
             return Ok(next);
         }
@@ -98,10 +98,10 @@
         Ok(Membership { outgoing, ..next })
     }
 
-    /// The data folder of a learner that holds everything up to `needed` on disk.
+    /// Returns the data folder of a learner, if it holds all entries up to `needed` on disk.
     ///
-    /// Without this rule a repaired cluster counts a voter that cannot help when another one is
-    /// lost right after the repair.
+    /// Otherwise the repaired cluster would count a voter that lacks committed entries, which
+    /// cannot help when another voter is lost right after the repair.
     fn caught_up_incarnation(
         &self,
         replica: ReplicaId,
@@ -110,29 +110,29 @@
         let Role::Leader(leader) = &self.role else { return Err(ChangeError::Unknown) };
         let progress = leader.progress.get(&replica).ok_or(ChangeError::WrongRole { replica })?;
         let known = progress.incarnation != Incarnation::default();
-        if !known || progress.matched < needed || !self.is_recent(progress.last_response) {
+        if !known || progress.matched < needed || !self.responded_recently(progress.last_response) {
             let matched = progress.matched;
             return Err(ChangeError::LearnerBehind { replica, matched, needed });
         }
         Ok(progress.incarnation)
     }
 
-    fn is_recent(&self, response: TimestampMs) -> bool {
+    fn responded_recently(&self, response: TimestampMs) -> bool {
         self.now.since(response) <= self.settings.election_timeout
     }
 
-    fn require_holders(&self, next: &Membership, needed: LogIndex) -> Result<(), ChangeError> {
+    fn require_quorum_holds(&self, next: &Membership, needed: LogIndex) -> Result<(), ChangeError> {
         let Role::Leader(leader) = &self.role else { return Err(ChangeError::Unknown) };
-        let holds = |replica: &ReplicaId| {
+        let has_required_entries = |replica: &ReplicaId| {
             if *replica == self.settings.replica {
                 return self.synced_index >= needed;
             }
-            // A voter that is silent may have lost its folder.
+            // A voter that has not responded recently may have lost its data folder.
             leader.progress.get(replica).is_some_and(|progress| {
-                progress.matched >= needed && self.is_recent(progress.last_response)
+                progress.matched >= needed && self.responded_recently(progress.last_response)
             })
         };
-        let holders = next.voters.keys().filter(|replica| holds(replica)).count();
+        let holders = next.voters.keys().filter(|replica| has_required_entries(replica)).count();
         let needed = next.voters.len() / 2 + 1;
         if holders < needed {
             return Err(ChangeError::TooFewHolders { holders, needed });
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// Leaves a joint membership once it is committed, and reports a finished change.
+    /// Leaves a joint membership once it is committed, and reports the completed change.
     pub(super) fn on_commit_advanced(&mut self) {
         if self.membership_index() > self.commit || !self.is_leader() {
             return;
@@ -156,8 +156,9 @@
             self.finish_change(Ok(()));
         }
         if !self.is_voter() {
-            // The others learn of the commit from the next leader, who need not wait for a timeout.
-            self.name_successor();
+            // The other replicas learn of the commit from the next leader, which is elected without
+            // waiting for a timeout.
+            self.request_successor_election();
             self.become_follower(self.hard_state.term, None);
         }
     }
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Where the leader answers, if it is known.
+    /// Returns the address of the leader, if known.
     pub(super) fn leader_address(&self) -> Option<SocketAddr> {
         let leader = self.leader?;
         let member = self.membership().member(leader).map(|member| member.address);
@@ -177,8 +178,9 @@
     }
 }
 
-/// The membership after `change`; `incarnation` is that of a promoted learner's data folder.
-fn resulting(
+/// Returns the membership after `change`; `incarnation` is that of a promoted learner's data
+/// folder.
+fn apply_change(
     present: &Membership,
     change: MembershipChange,
     incarnation: Incarnation,
--- a/crates/yuccatack_replication/src/state/mod.rs
+++ b/crates/yuccatack_replication/src/state/mod.rs
@@ -1,8 +1,8 @@
-//! The consensus state machine: `(state, input, now) -> outputs`, without I/O, clock or global
-//! random source.
+//! Consensus state machine: `(state, input, now) -> outputs`, without I/O, clock or global random
+//! source.
 //!
-//! [`Replica::step`] takes one input; [`Replica::take_outputs`] returns what the inputs since the
-//! last call require, so that everything that waits shares one write and one message per peer.
+//! [`Replica::step`] handles one input. [`Replica::take_outputs`] returns the outputs of all inputs
+//! since the last call, so that inputs handled together share one write and one message per peer.
 
 mod delivery;
 mod election;
@@ -28,8 +28,8 @@
 pub use self::outputs::Outputs;
 pub use self::view::{ReplicaView, RoleView};
 
-use self::election::Ballot;
-use self::formation::Forming;
+use self::election::VoteTally;
+use self::formation::Formation;
 use self::hashes::StateHashes;
 use self::leader::LeaderState;
 use self::snapshots::IncomingSnapshot;
@@ -41,16 +41,16 @@
 use crate::persistence::{HardState, PersistOperation, Recovered, StateSnapshot};
 use crate::replicated_log::Log;
 
-/// What a replica currently does in its term.
+/// Role of a replica in its current term.
 #[derive(Debug)]
 enum Role {
     Follower,
-    PreCandidate(Ballot),
-    Candidate(Ballot),
+    PreCandidate(VoteTally),
+    Candidate(VoteTally),
     Leader(Box<LeaderState>),
 }
 
-/// One replica of the log.
+/// State machine of one replica.
 #[derive(Debug)]
 pub struct Replica {
     settings: ReplicaSettings,
@@ -60,37 +60,39 @@
     hard_state: HardState,
     log: Log,
     snapshot: Option<StateSnapshot>,
-    /// Memberships by the index that set them; the last one is in force, committed or not.
+    /// Memberships with the index of the entry that set them; the last one is in effect, committed
+    /// or not.
     memberships: Vec<(LogIndex, Membership)>,
 
     role: Role,
     leader: Option<ReplicaId>,
     last_leader_contact: Option<TimestampMs>,
     election_deadline: TimestampMs,
-    forming: Option<Forming>,
+    formation: Option<Formation>,
     incoming_snapshot: Option<IncomingSnapshot>,
     hashes: StateHashes,
 
     commit: LogIndex,
     delivered: LogIndex,
-    snapshot_wanted: Option<LogIndex>,
+    snapshot_requested_at: Option<LogIndex>,
 
-    /// The sequence number of the batch that is being collected.
+    /// Sequence number of the batch that is being collected.
     next_sequence: u64,
-    /// The batch that holds the newest hard state.
+    /// Sequence number of the batch that holds the newest hard state.
     hard_state_sequence: u64,
     synced_sequence: u64,
     synced_index: LogIndex,
-    /// Batches that are not synced yet, with the last index that each covers.
+    /// Sequence numbers of the batches that are not synced yet, each with the last index that it
+    /// covers.
     unsynced: VecDeque<(u64, LogIndex)>,
-    /// Messages that may leave only once a batch is synced.
-    held_messages: VecDeque<(u64, Message)>,
+    /// Messages that must not be sent before the batch with the given sequence number is synced.
+    messages_awaiting_sync: VecDeque<(u64, Message)>,
     operations: Vec<PersistOperation>,
     outputs: Outputs,
 }
 
 impl Replica {
-    /// Starts from what the data folder holds; `seed` feeds the election timeouts.
+    /// Creates a replica from its durable state; `seed` determines its random election timeouts.
     pub fn new(
         settings: ReplicaSettings,
         recovered: Recovered,
@@ -99,7 +101,8 @@
     ) -> Self {
         let snapshot = recovered.snapshot;
         let log = Log::new(recovered.base, recovered.entries);
-        let snapshot_index = snapshot.as_ref().map_or(LogIndex::default(), |held| held.last.index);
+        let snapshot_index =
+            snapshot.as_ref().map_or(LogIndex::default(), |snapshot| snapshot.last.index);
         let synced_index = log.last().index;
         assert!(synced_index >= snapshot_index, "the log ends before the snapshot");
         let mut replica = Self {
@@ -114,39 +117,39 @@
             leader: None,
             last_leader_contact: None,
             election_deadline: now,
-            forming: None,
+            formation: None,
             incoming_snapshot: None,
             hashes: StateHashes::default(),
             commit: snapshot_index,
             delivered: LogIndex::default(),
-            snapshot_wanted: None,
+            snapshot_requested_at: None,
             next_sequence: 1,
             hard_state_sequence: 0,
             synced_sequence: 0,
             synced_index,
             unsynced: VecDeque::new(),
-            held_messages: VecDeque::new(),
+            messages_awaiting_sync: VecDeque::new(),
             operations: Vec::new(),
             outputs: Outputs::default(),
         };
         replica.reload_memberships();
         replica.reset_election_deadline();
-        replica.start_forming_if_new();
+        replica.start_formation_if_new();
         let own = replica.settings.replica;
         if replica.is_voter() && replica.membership().has_quorum(|voter| voter == own) {
-            // Nobody else can lead, so there is nothing to wait for.
+            // No other replica can become leader, so the election need not wait for a timeout.
             replica.election_deadline = now;
         }
         replica.announce_leader(None);
         replica
     }
 
-    /// Takes one input. `now` never decreases.
+    /// Handles one input. `now` must not decrease between calls.
     pub fn step(&mut self, input: Input, now: TimestampMs) {
-        assert!(now >= self.now, "time went backwards");
+        assert!(now >= self.now, "time of the input is before that of the last one");
         self.now = now;
-        // A process that was paused must find out before it acts on what waited meanwhile.
-        self.check_quorum_contact();
+        // A leader whose process was paused must step down before it handles waiting inputs.
+        self.check_quorum();
         match input {
             Input::Tick => {}
             Input::Message(message) => self.on_message(message),
@@ -158,20 +161,20 @@
             Input::ChangeMembership { number, change } => self.on_change_request(number, change),
             Input::TransferLeadership => self.on_transfer_request(),
         }
-        self.on_time();
+        self.run_timers();
         self.deliver();
     }
 
-    fn on_time(&mut self) {
-        self.form_on_time();
+    fn run_timers(&mut self) {
+        self.run_formation_timers();
         if self.is_leader() {
-            self.lead_on_time();
+            self.run_leader_timers();
         } else if self.now >= self.election_deadline {
             self.on_election_timeout();
         }
     }
 
-    /// Returns what the inputs since the last call require.
+    /// Returns the outputs of all inputs since the last call.
     pub fn take_outputs(&mut self) -> Outputs {
         self.replicate();
         self.seal_batch();
@@ -185,7 +188,9 @@
             Role::Leader(leader) => leader.next_heartbeat,
             _ => self.election_deadline,
         };
-        self.forming.as_ref().map_or(role_deadline, |forming| forming.next_hello.min(role_deadline))
+        self.formation
+            .as_ref()
+            .map_or(role_deadline, |formation| formation.next_hello.min(role_deadline))
     }
 
     fn on_message(&mut self, message: Message) {
@@ -201,7 +206,7 @@
         if message.term > self.hard_state.term {
             self.become_follower(message.term, None);
         }
-        // A pre-vote is often given by a replica of an older term; its answer names its election.
+        // A pre-vote may come from a replica of an older term; the response names its election.
         let is_vote = matches!(message.body, MessageBody::VoteResponse { .. });
         if message.term < self.hard_state.term && !is_vote {
             return self.on_stale(&message);
@@ -243,7 +248,7 @@
         }
     }
 
-    /// Tells a leader of an older term about the present one; answers nothing else.
+    /// Notifies a leader of an older term of the current term; ignores all other messages.
     fn on_stale(&mut self, message: &Message) {
         let from_old_leader = matches!(
             message.body,
@@ -257,9 +262,9 @@
         }
     }
 
-    /// The membership in force.
+    /// Returns the membership in effect, committed or not.
     pub fn membership(&self) -> &Membership {
-        // A replica that has received nothing yet has one empty membership.
+        // The list is never empty: a new replica starts with one empty membership.
         &self.memberships[self.memberships.len() - 1].1
     }
 
@@ -275,11 +280,11 @@
         self.membership().is_voter(self.settings.replica, self.settings.incarnation)
     }
 
-    /// Whether this replica may ask for votes.
+    /// Returns `true` if this replica may start an election.
     ///
-    /// A replica that an uncommitted entry removes may be the only one that holds this entry. Then
-    /// no other one can win an election, so it must be able to.
-    fn may_campaign(&self) -> bool {
+    /// A replica that an uncommitted entry removes may be the only one that holds this entry. No
+    /// other replica can win an election then, so this one must be allowed to.
+    fn may_start_election(&self) -> bool {
         let (replica, incarnation) = (self.settings.replica, self.settings.incarnation);
         for (index, membership) in self.memberships.iter().rev() {
             if membership.is_voter(replica, incarnation) {
@@ -300,7 +305,7 @@
         if hard_state == self.hard_state {
             return;
         }
-        assert!(hard_state.term >= self.hard_state.term, "the term would decrease");
+        assert!(hard_state.term >= self.hard_state.term, "the term of the hard state decreases");
         if hard_state.term == self.hard_state.term {
             let unchanged = self.hard_state.voted_for == ReplicaId::NONE
                 || self.hard_state.voted_for == hard_state.voted_for;
@@ -318,12 +323,12 @@
             self.set_hard_state(hard_state);
         }
         let previous = std::mem::replace(&mut self.role, Role::Follower);
-        let lost_lead = matches!(previous, Role::Leader(_));
+        let lost_leadership = matches!(previous, Role::Leader(_));
         if let Role::Leader(state) = previous {
             self.fail_pending(*state);
         }
         self.reset_election_deadline();
-        if lost_lead || leader != self.leader {
+        if lost_leadership || leader != self.leader {
             self.announce_leader(leader);
         }
     }
@@ -334,11 +339,11 @@
         self.outputs.committed.push(Committed::Leadership(Leadership::Follower { leader_address }));
     }
 
-    fn stop_with(&mut self, failure: ReplicaFailure) {
+    fn fail_with(&mut self, failure: ReplicaFailure) {
         self.outputs.failure.get_or_insert(failure);
     }
 
-    /// Removes memberships after a truncation, or reads them all after a start or a snapshot.
+    /// Rebuilds the list of memberships from the snapshot and the log.
     fn reload_memberships(&mut self) {
         let base = match &self.snapshot {
             Some(snapshot) => (snapshot.last.index, snapshot.membership.clone()),
--- a/crates/yuccatack_replication/src/state/outputs.rs
+++ b/crates/yuccatack_replication/src/state/outputs.rs
@@ -1,4 +1,5 @@
-//! What a replica asks its shell to do, and the rules for when a message may leave.
+//! Outputs of the state machine, and the rules on which writes must be synced before a message is
+//! sent.
 
 use yuccatack_core::{Incarnation, TimestampMs};
 
@@ -9,20 +10,20 @@
 use crate::message::{Message, MessageBody};
 use crate::persistence::PersistBatch;
 
-/// Everything that inputs require of the shell.
+/// Actions that the caller of the state machine must carry out.
 #[derive(Debug, Default)]
 pub struct Outputs {
-    /// Messages to send now.
+    /// Messages to send; they need not wait for `persist`.
     pub messages: Vec<Message>,
-    /// Writes to make, in this order and after all earlier batches.
+    /// Writes to make after those of all earlier batches.
     pub persist: Option<PersistBatch>,
-    /// Items for the user of the log.
+    /// Items to deliver to the user of the log, in order.
     pub committed: Vec<Committed>,
-    /// Changes of membership that are done.
+    /// Results of requested membership changes.
     pub changes: Vec<(ChangeNumber, Result<(), ChangeError>)>,
-    /// Why the replica must stop.
+    /// Failure after which the replica must stop.
     pub failure: Option<ReplicaFailure>,
-    /// When to call [`Replica::step`] with a tick unless something else comes first.
+    /// Latest time for the next call of [`Replica::step`], with a tick if there is no other input.
     pub next_tick: TimestampMs,
 }
 
@@ -40,13 +41,13 @@
         }
     }
 
-    /// Sends a message that promises nothing about the sender's disk.
+    /// Sends a message whose content does not depend on any unsynced write.
     pub(super) fn send_now(&mut self, to: ReplicaId, incarnation: Incarnation, body: MessageBody) {
         let message = self.message(to, incarnation, body);
         self.outputs.messages.push(message);
     }
 
-    /// Sends a message that shows the sender's term, once that term is on disk.
+    /// Sends a message that reveals the sender's term or cluster, once the hard state is on disk.
     pub(super) fn send_after_hard_state(
         &mut self,
         to: ReplicaId,
@@ -54,10 +55,10 @@
         body: MessageBody,
     ) {
         let message = self.message(to, incarnation, body);
-        self.hold(self.hard_state_sequence, message);
+        self.send_after_batch(self.hard_state_sequence, message);
     }
 
-    /// Sends a vote or an acknowledgement once everything asked for so far is on disk.
+    /// Sends a vote or an acknowledgement once all writes requested so far are on disk.
     pub(super) fn send_after_sync(
         &mut self,
         to: ReplicaId,
@@ -67,18 +68,18 @@
         let message = self.message(to, incarnation, body);
         let collecting = !self.operations.is_empty();
         let sequence = if collecting { self.next_sequence } else { self.next_sequence - 1 };
-        self.hold(sequence, message);
+        self.send_after_batch(sequence, message);
     }
 
-    fn hold(&mut self, sequence: u64, message: Message) {
+    fn send_after_batch(&mut self, sequence: u64, message: Message) {
         if sequence <= self.synced_sequence {
             self.outputs.messages.push(message);
         } else {
-            self.held_messages.push_back((sequence, message));
+            self.messages_awaiting_sync.push_back((sequence, message));
         }
     }
 
-    /// Closes the batch that was being collected.
+    /// Moves the collected writes into a batch for the next outputs.
     pub(super) fn seal_batch(&mut self) {
         if self.operations.is_empty() {
             return;
@@ -91,7 +92,7 @@
     }
 
     pub(super) fn on_synced(&mut self, sequence: u64) {
-        assert!(sequence < self.next_sequence, "a batch was confirmed that was never asked for");
+        assert!(sequence < self.next_sequence, "confirmed batch {sequence} was never requested");
         self.synced_sequence = self.synced_sequence.max(sequence);
         while let Some((batch, last_index)) = self.unsynced.front().copied()
             && batch <= sequence
@@ -99,9 +100,9 @@
             self.unsynced.pop_front();
             self.synced_index = last_index;
         }
-        let waiting = std::mem::take(&mut self.held_messages);
+        let waiting = std::mem::take(&mut self.messages_awaiting_sync);
         for (batch, message) in waiting {
-            self.hold(batch, message);
+            self.send_after_batch(batch, message);
         }
         self.advance_commit();
         self.count_own_vote();
--- a/crates/yuccatack_replication/src/state/progress.rs
+++ b/crates/yuccatack_replication/src/state/progress.rs
@@ -1,51 +1,51 @@
-//! What a leader knows about each of the other members.
+//! Replication progress of each member, as tracked by the leader.
 
 use yuccatack_core::{Incarnation, TimestampMs};
 
 use crate::identifiers::LogIndex;
 use crate::persistence::StateSnapshot;
 
-/// How many entries may be on their way to one member; more would only fill its queues.
+/// Maximum number of unacknowledged entries per member; more would only fill its queues.
 pub(super) const WINDOW_ENTRY_COUNT: u64 = 8_192;
 
-/// How a member is being brought up to date.
+/// Replication mode of a member.
 #[derive(Debug)]
 pub(super) enum Mode {
-    /// Looks for the position where the logs agree, one message at a time.
+    /// Searches for the position up to which the logs match, one message at a time.
     Probe {
-        /// Whether an answer is awaited.
+        /// `true` while a response is pending.
         waiting: bool,
     },
-    /// Sends entries without waiting for answers.
+    /// Sends entries without waiting for responses.
     Stream,
     /// Sends the snapshot, because the entries that the member needs are compacted.
-    Snapshot(Transfer),
+    Snapshot(SnapshotTransfer),
 }
 
-/// A snapshot on its way to a member.
+/// Snapshot that is being sent to a member.
 #[derive(Debug)]
-pub(super) struct Transfer {
+pub(super) struct SnapshotTransfer {
     pub snapshot: StateSnapshot,
     pub offset_bytes: u64,
-    /// When the part at `offset_bytes` was sent, unless it is still to be sent.
+    /// Time at which the chunk at `offset_bytes` was sent; `None` if it must still be sent.
     pub sent_at: Option<TimestampMs>,
 }
 
-/// What the leader knows about one member.
+/// Replication progress of one member.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// The data folder that the figures are about; 0 for a learner not yet heard of.
+    /// Incarnation of the member's data folder; 0 for a learner that has not responded yet.
     pub incarnation: Incarnation,
-    /// The last index that is known to agree and to be on the member's disk.
+    /// Last index that is known to match and to be on the member's disk.
     pub matched: LogIndex,
-    /// The next index to send.
+    /// Next index to send.
     pub next: LogIndex,
     pub mode: Mode,
-    /// When the member last answered.
+    /// Time of the member's last response.
     pub last_response: TimestampMs,
-    /// When `matched` last grew, or sending resumed.
+    /// Time at which `matched` last increased or sending resumed.
     pub last_progress: TimestampMs,
-    /// The newest confirmation round that the member answered.
+    /// Newest confirmation round that the member responded to.
     pub round: u64,
 }
 
@@ -75,25 +75,26 @@
         }
     }
 
-    pub fn reject(&mut self, agreed_at_most: LogIndex) {
-        self.next = agreed_at_most.next().max(self.matched.next());
+    pub fn reject(&mut self, match_upper_bound: LogIndex) {
+        self.next = match_upper_bound.next().max(self.matched.next());
         self.mode = Mode::Probe { waiting: false };
     }
 
-    /// Sends again what is unanswered for longer than `patience_ms`.
-    pub fn resend_if_stalled(&mut self, now: TimestampMs, patience_ms: u64) {
+    /// Schedules unacknowledged entries or chunks to be sent again after a timeout; probes are sent
+    /// again at once.
+    pub fn resend_if_stalled(&mut self, now: TimestampMs, timeout_ms: u64) {
         match &mut self.mode {
             Mode::Probe { waiting } => *waiting = false,
             Mode::Stream => {
                 let outstanding = self.next > self.matched.next();
-                if outstanding && now.since(self.last_progress).get() > patience_ms {
+                if outstanding && now.since(self.last_progress).get() > timeout_ms {
                     self.next = self.matched.next();
                     self.mode = Mode::Probe { waiting: false };
                 }
             }
             Mode::Snapshot(transfer) => {
                 let stalled =
-                    transfer.sent_at.is_some_and(|sent| now.since(sent).get() > 2 * patience_ms);
+                    transfer.sent_at.is_some_and(|sent| now.since(sent).get() > 2 * timeout_ms);
                 if stalled {
                     transfer.sent_at = None;
                 }
--- a/crates/yuccatack_replication/src/state/reads.rs
+++ b/crates/yuccatack_replication/src/state/reads.rs
@@ -1,4 +1,5 @@
-//! Linearizable reads: a read is answered once a quorum confirmed the lead after it was requested.
+//! Linearizable reads: a read is served once a quorum has confirmed the leadership after the read
+//! was requested.
 
 use std::collections::VecDeque;
 
@@ -8,7 +9,7 @@
 use crate::committed::{Committed, ReadFailure};
 use crate::identifiers::{LogIndex, ReadId, ReplicaId};
 
-/// Reads that wait for a confirmation round; all that wait share the next one.
+/// Reads that wait for a confirmation round; all waiting reads share the next one.
 #[derive(Debug, Default)]
 pub(super) struct ReadQueue {
     round: u64,
@@ -18,7 +19,7 @@
 }
 
 impl ReadQueue {
-    /// The number of the newest confirmation round.
+    /// Returns the number of the newest confirmation round.
     pub fn round(&self) -> u64 {
         self.round
     }
@@ -27,7 +28,7 @@
         self.waiting.push(read);
     }
 
-    /// Starts a round for everything that waits, unless one is under way.
+    /// Starts a round for all waiting reads, unless one is in progress.
     fn start(&mut self, commit: LogIndex) -> bool {
         if self.waiting.is_empty() || self.in_round.is_some() {
             return false;
@@ -41,7 +42,7 @@
         self.confirmed.extend(self.in_round.take());
     }
 
-    /// The reads whose entries are all delivered.
+    /// Removes and returns the confirmed reads whose entries have all been delivered.
     pub fn take_ready(&mut self, delivered: LogIndex) -> Vec<ReadId> {
         let mut ready = Vec::new();
         while self.confirmed.front().is_some_and(|(index, _)| *index <= delivered) {
@@ -50,7 +51,7 @@
         ready
     }
 
-    pub fn into_unanswered(self) -> Vec<ReadId> {
+    pub fn into_pending(self) -> Vec<ReadId> {
         let confirmed = self.confirmed.into_iter().flat_map(|(_, reads)| reads);
         let in_round = self.in_round.into_iter().flat_map(|(_, reads)| reads);
         confirmed.chain(in_round).chain(self.waiting).collect()
@@ -73,7 +74,8 @@
 
     pub(super) fn start_read_round(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
-        // Before its own first entry is committed, a leader may not know the newest commit index.
+        // Until the first entry of its own term is committed, a leader may not know the newest
+        // commit index.
         if self.commit < leader.first_index || !leader.reads.start(self.commit) {
             return;
         }
@@ -89,10 +91,10 @@
         round: u64,
     ) {
         let now = self.now;
-        let patience_ms = 2 * self.settings.heartbeat.get();
-        let Some(progress) = self.answered(from, incarnation) else { return };
+        let timeout_ms = 2 * self.settings.heartbeat.get();
+        let Some(progress) = self.progress_of_responder(from, incarnation) else { return };
         progress.round = progress.round.max(round);
-        progress.resend_if_stalled(now, patience_ms);
+        progress.resend_if_stalled(now, timeout_ms);
         self.confirm_reads();
     }
 
--- a/crates/yuccatack_replication/src/state/snapshots.rs
+++ b/crates/yuccatack_replication/src/state/snapshots.rs
@@ -4,21 +4,22 @@
 use yuccatack_core::{Incarnation, TimestampMs};
 
 use super::Replica;
-use super::progress::{Mode, Progress, Transfer};
+use super::progress::{Mode, Progress, SnapshotTransfer};
 use crate::identifiers::{LogIndex, ReplicaId};
 use crate::membership::Membership;
 use crate::message::{AppendOutcome, MessageBody};
 use crate::persistence::{PersistOperation, StateSnapshot};
 use crate::replicated_log::LogPosition;
 
-/// How much of a snapshot one message carries, so that heartbeats wait behind little.
+/// Maximum size of the snapshot data in one message. Small chunks delay the heartbeats behind them
+/// less.
 const CHUNK_BYTES: u64 = 512 * 1024;
 
-/// How many entries before a snapshot are kept, so that a member that lags a little needs no
-/// snapshot.
+/// Number of entries before a snapshot that stay in the log, so that a member that lags behind by
+/// fewer entries needs no snapshot.
 const KEPT_ENTRY_COUNT: u64 = 1_000;
 
-/// A snapshot that is being received.
+/// Partially received snapshot.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     last: LogPosition,
@@ -33,8 +34,8 @@
     }
 }
 
-impl Transfer {
-    /// The part to send now, or nothing while an answer is awaited.
+impl SnapshotTransfer {
+    /// Returns the next chunk to send, or `None` while a response is pending.
     pub fn next_chunk(&mut self, now: TimestampMs) -> Option<MessageBody> {
         if self.sent_at.is_some() {
             return None;
@@ -55,12 +56,13 @@
 
 impl Replica {
     pub(super) fn on_store_snapshot(&mut self, index: LogIndex, payload: Bytes) {
-        self.snapshot_wanted = None;
-        let held = self.snapshot.as_ref().map_or(LogIndex::default(), |held| held.last.index);
-        if index <= held {
+        self.snapshot_requested_at = None;
+        let last_held =
+            self.snapshot.as_ref().map_or(LogIndex::default(), |snapshot| snapshot.last.index);
+        if index <= last_held {
             return;
         }
-        assert!(index <= self.delivered, "a snapshot of entries that were never delivered");
+        assert!(index <= self.delivered, "snapshot at {index} includes undelivered entries");
         let Some(term) = self.log.term_at(index) else { return };
         let last = LogPosition { index, term };
         let membership = self.membership_at(index);
@@ -129,21 +131,21 @@
         if self.log.term_at(last.index) == Some(last.term) {
             self.log.compact(last.index);
         } else {
-            // What is uncommitted here conflicts with the snapshot and counts as unsynced.
-            let agreed = self.commit;
-            self.synced_index = self.synced_index.min(agreed);
+            // The uncommitted entries conflict with the snapshot and no longer count as synced.
+            let last_agreed = self.commit;
+            self.synced_index = self.synced_index.min(last_agreed);
             for (_, covered) in &mut self.unsynced {
-                *covered = agreed.min(*covered);
+                *covered = last_agreed.min(*covered);
             }
             self.log.reset(last);
         }
         self.restart_stored_log();
         self.reload_memberships();
         self.advance_commit_to(last.index);
-        self.snapshot_wanted = None;
+        self.snapshot_requested_at = None;
     }
 
-    pub(super) fn forget_incoming_snapshot(&mut self) {
+    pub(super) fn discard_incoming_snapshot(&mut self) {
         self.incoming_snapshot = None;
     }
 
@@ -155,7 +157,7 @@
         received_bytes: u64,
     ) {
         let now = self.now;
-        let Some(progress) = self.answered(from, incarnation) else { return };
+        let Some(progress) = self.progress_of_responder(from, incarnation) else { return };
         progress.on_chunk_received(index, received_bytes, now);
         self.advance_commit();
         self.continue_change();
--- a/crates/yuccatack_replication/src/state/view.rs
+++ b/crates/yuccatack_replication/src/state/view.rs
@@ -1,4 +1,4 @@
-//! What a replica shows of itself.
+//! Read-only view of a replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,59 +8,62 @@
 use crate::membership::Membership;
 use crate::persistence::HardState;
 
-/// The role of a replica.
+/// Role of a replica, as reported to its user.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RoleView {
-    /// Belongs to no cluster yet.
+    /// Does not belong to a cluster yet.
     Unformed,
     /// Receives the log and does not vote.
     Learner,
-    /// Follows a leader or waits for one.
+    /// Votes, and follows a leader or waits for one.
     Follower,
-    /// Asks for votes.
+    /// Requests pre-votes or votes.
     Candidate,
-    /// Leads.
+    /// Leads the current term.
     Leader,
 }
 
-/// A replica's state at one moment.
+/// State of a replica at one point in time.
 #[derive(Clone, Debug)]
 pub struct ReplicaView<'a> {
-    /// Its role.
+    /// Role in the current term.
     pub role: RoleView,
-    /// Term, vote and cluster.
+    /// Term, vote and cluster, possibly not on disk yet.
     pub hard_state: HardState,
-    /// The leader, if known.
+    /// Leader of the current term, if known.
     pub leader: Option<ReplicaId>,
-    /// Where the leader answers, if known.
+    /// Address of the leader, if known.
     pub leader_address: Option<SocketAddr>,
-    /// The last entry known to be committed.
+    /// Commit index.
     pub commit: LogIndex,
-    /// The last entry that was delivered.
+    /// Index of the last entry that was delivered.
     pub delivered: LogIndex,
-    /// The last entry in memory.
+    /// Index of the last entry in the log, synced or not.
     pub last: LogIndex,
-    /// The members.
+    /// Membership in effect, committed or not.
     pub membership: &'a Membership,
-    /// Whether a leader is handing its lead over.
-    pub handing_over: bool,
-    /// What the other members hold, on a leader.
+    /// `true` while a leader is transferring its leadership.
+    pub transferring_leadership: bool,
+    /// Last index that each other member is known to hold; empty unless this replica leads.
     pub matched: BTreeMap<ReplicaId, LogIndex>,
-    /// The voters that have not answered for several election timeouts, on a leader.
+    /// Voters that have not responded for several election timeouts; empty unless this replica
+    /// leads.
     pub silent_voters: BTreeSet<ReplicaId>,
 }
 
-/// A voter is silent after this many election timeouts without an answer. It must exceed a restart
-/// of the process, after which the voter goes on by itself.
-const SILENCE_FACTOR: u64 = 5;
+/// Number of election timeouts without a response after which a voter is reported as silent. This
+/// must exceed the duration of a process restart, after which the voter resumes by itself.
+const SILENCE_TIMEOUT_FACTOR: u64 = 5;
 
 impl Replica {
-    /// Shows the replica's state.
+    /// Returns the current state of the replica.
     pub fn view(&self) -> ReplicaView<'_> {
         let matched = match &self.role {
-            Role::Leader(leader) => {
-                leader.progress.iter().map(|(replica, held)| (*replica, held.matched)).collect()
-            }
+            Role::Leader(leader) => leader
+                .progress
+                .iter()
+                .map(|(replica, progress)| (*replica, progress.matched))
+                .collect(),
             _ => BTreeMap::new(),
         };
         ReplicaView {
@@ -72,7 +75,9 @@
             delivered: self.delivered,
             last: self.log.last().index,
             membership: self.membership(),
-            handing_over: matches!(&self.role, Role::Leader(leader) if leader.handover.is_some()),
+            transferring_leadership: matches!(
+                &self.role, Role::Leader(leader) if leader.transfer.is_some()
+            ),
             matched,
             silent_voters: self.silent_voters(),
         }
@@ -80,7 +85,7 @@
 
     fn silent_voters(&self) -> BTreeSet<ReplicaId> {
         let Role::Leader(leader) = &self.role else { return BTreeSet::new() };
-        let limit_ms = SILENCE_FACTOR * self.settings.election_timeout.get();
+        let limit_ms = SILENCE_TIMEOUT_FACTOR * self.settings.election_timeout.get();
         let is_silent = |replica: &&ReplicaId| {
             leader
                 .progress
@@ -94,7 +99,7 @@
         match &self.role {
             Role::Leader(_) => RoleView::Leader,
             Role::PreCandidate(_) | Role::Candidate(_) => RoleView::Candidate,
-            Role::Follower if self.forming.is_some() => RoleView::Unformed,
+            Role::Follower if self.formation.is_some() => RoleView::Unformed,
             Role::Follower if self.is_voter() => RoleView::Follower,
             Role::Follower => RoleView::Learner,
         }
--- a/crates/yuccatack_replication/src/transport.rs
+++ b/crates/yuccatack_replication/src/transport.rs
@@ -1,4 +1,5 @@
-//! Messages over `tonic`: one outgoing stream per replica, and the service for incoming ones.
+//! Message transport over `tonic`: one outgoing stream per replica, and the service for incoming
+//! messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,28 +16,28 @@
 use crate::generated::replication::{DeliverResponse, Envelope};
 use crate::message::Message;
 
-/// How long a connection attempt may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long to wait before the next attempt; an election needs several messages in a row, so this
+/// Delay between connection attempts. An election needs several consecutive messages, so the delay
 /// stays well below the shortest election timeout.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// How often an open connection is probed, and how long an answer may take. A connection can stop
-/// responding for good while new ones work.
-const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-const PROBE_LIMIT: Duration = Duration::from_millis(500);
+// HTTP/2 keep-alive closes a connection that has permanently stopped responding although it is
+// open; a new connection to the same replica may work.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The largest message; a single large command must fit.
+/// Maximum size of an encoded message; a single large command must fit.
 const MESSAGE_LIMIT_BYTES: usize = 64 * 1024 * 1024;
 
-/// How many encoded messages wait in one stream; the rest waits in the queue that drops.
+/// Maximum number of encoded messages that wait in one stream. Further messages wait in the peer's
+/// queue, which drops messages when it is full.
 const STREAM_QUEUE_LENGTH: usize = 16;
 
-/// The service that the caller adds to its router.
+/// gRPC service that the caller adds to its router.
 pub type ReplicationService = ReplicationServer<Inbound>;
 
-/// Hands incoming messages to the actor.
+/// Passes incoming messages to the actor.
 pub struct Inbound {
     actor: ActorRef<ActorMessage>,
     closed: watch::Receiver<bool>,
@@ -76,7 +77,7 @@
                     Some(envelope) => self.receive(envelope)?,
                     None => return Ok(Response::new(DeliverResponse {})),
                 },
-                // An error means that the actor is gone, which closes the stream as well.
+                // An error means that the actor has stopped, which closes the stream as well.
                 _ = closed.wait_for(|closed| *closed) => {
                     return Err(Status::unavailable("the replica has stopped; start it again"));
                 }
@@ -85,37 +86,40 @@
     }
 }
 
-/// Sends the messages of `waiting` to `address` until the queue is closed.
-pub(crate) async fn run_connection(address: SocketAddr, mut waiting: mpsc::Receiver<Message>) {
+/// Sends the messages of `queue` to `address` until the queue is closed.
+pub(crate) async fn run_connection(address: SocketAddr, mut queue: mpsc::Receiver<Message>) {
     let endpoint = match Endpoint::from_shared(format!("http://{address}")) {
         Ok(endpoint) => endpoint
-            .connect_timeout(CONNECT_LIMIT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
-            .http2_keep_alive_interval(PROBE_INTERVAL)
-            .keep_alive_timeout(PROBE_LIMIT)
+            .http2_keep_alive_interval(KEEP_ALIVE_INTERVAL)
+            .keep_alive_timeout(KEEP_ALIVE_TIMEOUT)
             .keep_alive_while_idle(true),
         Err(error) => {
-            log::error!(event = "invalid_address"; "cannot connect to {address}: {error}");
+            log::error!(
+                event = "invalid_address";
+                "replica address {address} is invalid, no messages are sent to it: {error}"
+            );
             return;
         }
     };
-    while !waiting.is_closed() {
+    while !queue.is_closed() {
         match endpoint.connect().await {
             Ok(channel) => {
-                if !send_until_broken(channel, &mut waiting).await {
+                if !send_until_broken(channel, &mut queue).await {
                     return;
                 }
             }
-            // What waited is outdated by the time the replica answers again, and would only delay
-            // what it needs then.
-            Err(_) => while waiting.try_recv().is_ok() {},
+            // Queued messages are outdated by the time the replica is reachable again and would
+            // only delay the current ones.
+            Err(_) => while queue.try_recv().is_ok() {},
         }
         tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Returns whether the queue is still open.
-async fn send_until_broken(channel: Channel, waiting: &mut mpsc::Receiver<Message>) -> bool {
+/// Sends messages until the connection breaks; returns `true` if the queue is still open.
+async fn send_until_broken(channel: Channel, queue: &mut mpsc::Receiver<Message>) -> bool {
     let mut client = ReplicationClient::new(channel)
         .max_encoding_message_size(MESSAGE_LIMIT_BYTES)
         .max_decoding_message_size(MESSAGE_LIMIT_BYTES);
@@ -124,14 +128,17 @@
     tokio::pin!(call);
     loop {
         let message = tokio::select! {
-            message = waiting.recv() => message,
+            message = queue.recv() => message,
             _ = &mut call => return true,
         };
         let Some(message) = message else { return false };
         let envelope = match Envelope::try_from(&message) {
             Ok(envelope) => envelope,
             Err(error) => {
-                log::error!(event = "message_dropped"; "{error}");
+                log::error!(
+                    event = "message_dropped";
+                    "message to replica {} dropped: {error}", message.to
+                );
                 continue;
             }
         };
--- a/crates/yuccatack_replication/src/wire.rs
+++ b/crates/yuccatack_replication/src/wire.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages, stored entries and snapshots.
+//! Conversions of messages, entries and snapshots to and from their transport and storage types.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use snafu::{ResultExt, Snafu};
@@ -14,28 +14,28 @@
 const KIND_COMMAND: u8 = 1;
 const KIND_MEMBERSHIP: u8 = 2;
 
-/// Bytes that this program cannot decode, or a value that cannot be encoded.
+/// Error of encoding or decoding a message, an entry or a snapshot.
 #[derive(Debug, Snafu)]
 pub enum WireError {
-    /// A value without a MessagePack form.
+    /// The value has no MessagePack representation.
     #[snafu(display("cannot encode: {source}"))]
     Encode {
-        /// The encoder's error.
+        /// Error of the MessagePack encoder.
         source: rmp_serde::encode::Error,
     },
-    /// Not the MessagePack form of the expected type.
+    /// The bytes are not a valid encoding of the expected type.
     #[snafu(display("cannot decode: {source}"))]
     Decode {
-        /// The decoder's error.
+        /// Error of the MessagePack decoder.
         source: rmp_serde::decode::Error,
     },
-    /// An entry of a kind that this program does not know.
+    /// The kind byte of a stored entry is not supported.
     #[snafu(display("unknown entry kind {kind}"))]
     UnknownKind {
-        /// The kind found.
+        /// Kind byte of the entry.
         kind: u8,
     },
-    /// An entry without content.
+    /// The stored entry is empty, so it has no kind byte.
     #[snafu(display("an entry has no kind"))]
     NoKind,
 }
