--- a/crates/yuccatack_replication/examples/measure/cluster.rs
+++ b/crates/yuccatack_replication/examples/measure/cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas in one process, each with its own server, connections and files.
+//! Cluster of replicas in one process, each with its own server, connections and files.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
         self.nodes.insert(id, Node { handle, committed, shutdown, server });
     }
 
-    /// Stops a replica without a hand-over, which the others see as a broken connection.
+    /// Stops a replica without a leadership transfer; its peers see broken connections.
     pub async fn stop(&mut self, id: ReplicaId) {
         let node = self.nodes.remove(&id).unwrap();
         node.handle.stop().await;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Waits until some replica leads and has delivered everything of earlier terms.
+    /// Waits until a replica leads and has delivered all entries of earlier terms.
     pub async fn leader(&mut self) -> ReplicaId {
         loop {
             for (id, node) in &mut self.nodes {
--- a/crates/yuccatack_replication/examples/measure/failover.rs
+++ b/crates/yuccatack_replication/examples/measure/failover.rs
@@ -1,4 +1,4 @@
-//! How long nothing can be committed after a leader stops.
+//! Duration without commits after a leader stops.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,8 +9,8 @@
 
 use super::cluster::Cluster;
 
-/// Stops the leader `rounds` times, each time until another one has committed a new entry.
-pub async fn unavailability(folder: &Path, voter_count: u64, rounds: u64) {
+/// Stops the leader `rounds` times and measures the time until another one commits a new entry.
+pub async fn measure_unavailability(folder: &Path, voter_count: u64, rounds: u64) {
     let path = folder.join(format!("failover-{voter_count}"));
     let mut cluster = Cluster::new(&path, voter_count).await;
     let mut leader = cluster.leader().await;
@@ -31,7 +31,7 @@
         }
         durations.record(stopped_at.elapsed().as_micros() as u64).unwrap();
         cluster.start(old).await;
-        // The restarted replica catches up, and heartbeats are regular again.
+        // Lets the restarted replica catch up and the heartbeats become regular again.
         tokio::time::sleep(Duration::from_millis(700)).await;
     }
     let [p50, p99, max] =
--- a/crates/yuccatack_replication/examples/measure/main.rs
+++ b/crates/yuccatack_replication/examples/measure/main.rs
@@ -1,8 +1,9 @@
-//! Measures the replicated log on loopback with real syncs, beside bare appends of the same run.
+//! Benchmark of the replicated log on loopback with real syncs, and of appends without replication
+//! in the same run.
 //!
 //! `cargo run --release --package yuccatack_replication --example measure [PART]...` runs the named
-//! parts out of `throughput`, `failover` and `restart`, or all of them. The files go to a new folder
-//! in the system's temporary folder.
+//! parts out of `throughput`, `failover` and `restart`, or all of them. The data folders are
+//! created in the system's temporary folder.
 #![allow(clippy::unwrap_used, clippy::print_stdout, missing_docs)]
 
 mod cluster;
@@ -10,30 +11,30 @@
 mod restart;
 mod throughput;
 
-/// About the size of a record change or a claim.
+/// Size of a proposed command, similar to that of a record change or a claim.
 pub const PAYLOAD_BYTES: usize = 256;
 
 #[tokio::main]
 async fn main() {
     let parts: Vec<String> = std::env::args().skip(1).collect();
-    let wanted = |part: &str| parts.is_empty() || parts.iter().any(|name| name == part);
+    let is_selected = |part: &str| parts.is_empty() || parts.iter().any(|name| name == part);
     let folder = tempfile::tempdir().unwrap();
-    if wanted("throughput") {
-        throughput::bare_appends(folder.path());
+    if is_selected("throughput") {
+        throughput::measure_appends(folder.path());
         for voter_count in [1, 3, 5] {
             for in_flight in [1, 64, 1024] {
-                throughput::replicated(folder.path(), voter_count, in_flight).await;
+                throughput::measure_replicated(folder.path(), voter_count, in_flight).await;
             }
         }
     }
-    if wanted("failover") {
+    if is_selected("failover") {
         for voter_count in [3, 5] {
-            failover::unavailability(folder.path(), voter_count, 100).await;
+            failover::measure_unavailability(folder.path(), voter_count, 100).await;
         }
     }
-    if wanted("restart") {
+    if is_selected("restart") {
         for entry_count in [100, 10_000, 100_000] {
-            restart::restart_time(folder.path(), entry_count).await;
+            restart::measure_restart(folder.path(), entry_count).await;
         }
     }
 }
--- a/crates/yuccatack_replication/examples/measure/restart.rs
+++ b/crates/yuccatack_replication/examples/measure/restart.rs
@@ -1,4 +1,4 @@
-//! How long a single replica needs from its start until everything is delivered again.
+//! Duration of a restart of a single replica, until all entries are delivered again.
 
 use std::path::Path;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use super::PAYLOAD_BYTES;
 use super::cluster::Cluster;
 
-pub async fn restart_time(folder: &Path, entry_count: u64) {
+pub async fn measure_restart(folder: &Path, entry_count: u64) {
     let path = folder.join(format!("restart-{entry_count}"));
     let mut cluster = Cluster::new(&path, 1).await;
     let leader = cluster.leader().await;
--- a/crates/yuccatack_replication/examples/measure/throughput.rs
+++ b/crates/yuccatack_replication/examples/measure/throughput.rs
@@ -1,4 +1,4 @@
-//! Committed entries a second and the time from proposal to delivery.
+//! Committed entries per second and latency from proposal to delivery.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -15,8 +15,8 @@
 const WARM_UP: Duration = Duration::from_millis(500);
 const DURATION: Duration = Duration::from_secs(4);
 
-/// Appends and syncs without replication, one entry or many entries a sync.
-pub fn bare_appends(folder: &Path) {
+/// Appends and syncs without replication, with one or several entries per sync.
+pub fn measure_appends(folder: &Path) {
     for group in [1u64, 64, 1024] {
         let data = DataFolder::open(&folder.join(format!("bare-{group}")), 1).unwrap();
         let (mut store, _) = Store::open(&data).unwrap();
@@ -37,12 +37,17 @@
             latency.record(before.elapsed().as_micros() as u64).unwrap();
             index += group;
         }
-        report(&format!("bare append, {group} entries a sync"), index, started.elapsed(), &latency);
+        print_result(
+            &format!("bare append, {group} entries a sync"),
+            index,
+            started.elapsed(),
+            &latency,
+        );
     }
 }
 
-/// Proposes to the leader with `in_flight` proposals unanswered at any time.
-pub async fn replicated(folder: &Path, voter_count: u64, in_flight: u64) {
+/// Proposes to the leader with `in_flight` pending proposals at any time.
+pub async fn measure_replicated(folder: &Path, voter_count: u64, in_flight: u64) {
     let path = folder.join(format!("throughput-{voter_count}-{in_flight}"));
     let mut cluster = Cluster::new(&path, voter_count).await;
     let leader = cluster.leader().await;
@@ -62,24 +67,24 @@
         }
         let (_, item) = node.committed.recv().await.unwrap();
         let Committed::Entry { proposal: Some(proposal), .. } = item else { continue };
-        let answered = Instant::now();
-        let proposed = proposed_at.remove(&proposal.get()).unwrap();
-        if answered - started < WARM_UP {
+        let delivered_at = Instant::now();
+        let proposal_time = proposed_at.remove(&proposal.get()).unwrap();
+        if delivered_at - started < WARM_UP {
             continue;
         }
-        let from = *measured_from.get_or_insert(answered);
+        let measured_since = *measured_from.get_or_insert(delivered_at);
         count += 1;
-        latency.record((answered - proposed).as_micros() as u64).unwrap();
-        if answered - from > DURATION {
+        latency.record((delivered_at - proposal_time).as_micros() as u64).unwrap();
+        if delivered_at - measured_since > DURATION {
             let name = format!("{voter_count} replicas, {in_flight} proposals in flight");
-            report(&name, count, answered - from, &latency);
+            print_result(&name, count, delivered_at - measured_since, &latency);
             break;
         }
     }
     cluster.stop_all().await;
 }
 
-fn report(name: &str, count: u64, elapsed: Duration, latency: &Histogram<u64>) {
+fn print_result(name: &str, count: u64, elapsed: Duration, latency: &Histogram<u64>) {
     let rate = count as f64 / elapsed.as_secs_f64();
     let [p50, p99] = [0.5, 0.99].map(|quantile| latency.value_at_quantile(quantile) as f64 / 1e3);
     println!("{name}: {rate:.0} entries/s, p50 {p50:.2} ms, p99 {p99:.2} ms");
--- a/crates/yuccatack_replication/src/actor/mod.rs
+++ b/crates/yuccatack_replication/src/actor/mod.rs
@@ -213,7 +213,7 @@
     }
 
     fn fail(&mut self, myself: &ActorRef<ActorMessage>, failure: ReplicaFailure) {
-        log::error!(event = "replica_failed"; "replica stopped after a failure: {failure}");
+        log::error!(event = "replica_failed"; "{failure}");
         self.status.send_modify(|status| status.failure = Some(failure));
         myself.stop(Some("failed".to_owned()));
     }
--- a/crates/yuccatack_replication/src/error.rs
+++ b/crates/yuccatack_replication/src/error.rs
@@ -85,7 +85,10 @@
     },
     /// Another membership change or a leadership transfer is in progress, or the leader has not
     /// committed its first entry.
-    #[snafu(display("another membership change is in progress; send this one after it"))]
+    #[snafu(display(
+        "another membership change or a leadership transfer is in progress; send this change again \
+         when it is complete"
+    ))]
     InProgress,
     /// The replica to add is already a member.
     #[snafu(display(
--- a/crates/yuccatack_replication/src/handle.rs
+++ b/crates/yuccatack_replication/src/handle.rs
@@ -52,13 +52,13 @@
 pub struct ReplicationStatus {
     /// Role in the current term.
     pub role: RoleName,
-    /// Current term.
+    /// Highest term that the replica has seen.
     pub term: Term,
     /// Leader of the current term, if known.
     pub leader: Option<ReplicaId>,
     /// Address of the leader, if known.
     pub leader_address: Option<SocketAddr>,
-    /// Commit index.
+    /// Index of the last entry known to be committed.
     pub commit: LogIndex,
     /// Addresses of the voters; during a joint membership those of the new set.
     pub voters: BTreeMap<ReplicaId, SocketAddr>,
--- a/crates/yuccatack_replication/src/identifiers.rs
+++ b/crates/yuccatack_replication/src/identifiers.rs
@@ -8,7 +8,17 @@
     ($($(#[$documentation:meta])+ $name:ident),* $(,)?) => {$(
         $(#[$documentation])+
         #[derive(
-            Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
+            Clone,
+            Copy,
+            Debug,
+            Default,
+            Eq,
+            Hash,
+            Ord,
+            PartialEq,
+            PartialOrd,
+            Serialize,
+            Deserialize,
         )]
         pub struct $name(u64);
 
--- a/crates/yuccatack_replication/src/replicated_log.rs
+++ b/crates/yuccatack_replication/src/replicated_log.rs
@@ -17,7 +17,7 @@
     Membership(Membership),
 }
 
-/// Log entry.
+/// Entry of the replicated log, identified by its index and term.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
     /// Term of the leader that created the entry.
--- a/crates/yuccatack_replication/src/state/election.rs
+++ b/crates/yuccatack_replication/src/state/election.rs
@@ -130,7 +130,9 @@
     }
 
     fn may_vote_for(&self, candidate: ReplicaId, for_term: Term) -> bool {
-        let free = matches!(self.hard_state.voted_for, vote if vote == ReplicaId::NONE || vote == candidate);
+        let free = matches!(
+            self.hard_state.voted_for, vote if vote == ReplicaId::NONE || vote == candidate
+        );
         for_term == self.hard_state.term && free && !self.is_leader()
     }
 
--- a/crates/yuccatack_replication/src/state/leader.rs
+++ b/crates/yuccatack_replication/src/state/leader.rs
@@ -6,7 +6,7 @@
 use yuccatack_core::{Incarnation, TimestampMs};
 
 use super::membership_change::ActiveChange;
-use super::progress::{Mode, Progress, SnapshotTransfer, WINDOW_ENTRY_COUNT};
+use super::progress::{Progress, ReplicationMode, SnapshotTransfer, WINDOW_ENTRY_COUNT};
 use super::reads::ReadQueue;
 use super::{Replica, Role};
 use crate::committed::{Committed, ProposalFailure};
@@ -271,7 +271,7 @@
 
     pub(super) fn on_transfer_request(&mut self) {
         let deadline = self.now + self.settings.election_timeout;
-        let Some((target, _)) = self.most_advanced_voter() else { return };
+        let Some((target, _)) = self.most_up_to_date_voter() else { return };
         if let Role::Leader(leader) = &mut self.role {
             leader.transfer = Some(LeadershipTransfer { target, deadline, requested: false });
             self.continue_transfer();
@@ -279,7 +279,7 @@
     }
 
     /// Returns the other voter with the longest matching log among those that responded recently.
-    fn most_advanced_voter(&self) -> Option<(ReplicaId, Incarnation)> {
+    fn most_up_to_date_voter(&self) -> Option<(ReplicaId, Incarnation)> {
         let Role::Leader(leader) = &self.role else { return None };
         let responded_recently = |progress: &Progress| {
             self.now.since(progress.last_response) <= self.settings.election_timeout
@@ -294,7 +294,7 @@
 
     /// Requests another voter to start an election, after the removal of this leader.
     pub(super) fn request_successor_election(&mut self) {
-        if let Some((target, incarnation)) = self.most_advanced_voter() {
+        if let Some((target, incarnation)) = self.most_up_to_date_voter() {
             self.send_now(target, incarnation, MessageBody::TimeoutNow);
         }
     }
@@ -331,16 +331,19 @@
     let log = source.log;
     let previous = progress.next.previous();
     let term = log.term_at(previous);
-    if term.is_none() && !matches!(progress.mode, Mode::Snapshot(_)) {
+    if term.is_none() && !matches!(progress.mode, ReplicationMode::Snapshot(_)) {
         let snapshot = source.snapshot?.clone();
-        progress.mode =
-            Mode::Snapshot(SnapshotTransfer { snapshot, offset_bytes: 0, sent_at: None });
+        progress.mode = ReplicationMode::Snapshot(SnapshotTransfer {
+            snapshot,
+            offset_bytes: 0,
+            sent_at: None,
+        });
     }
     match &mut progress.mode {
-        Mode::Snapshot(transfer) => return transfer.next_chunk(now),
-        Mode::Probe { waiting: true } => return None,
-        Mode::Probe { waiting } => *waiting = true,
-        Mode::Stream => {
+        ReplicationMode::Snapshot(transfer) => return transfer.next_chunk(now),
+        ReplicationMode::Probe { waiting: true } => return None,
+        ReplicationMode::Probe { waiting } => *waiting = true,
+        ReplicationMode::Stream => {
             let outstanding = progress.next.get() - progress.matched.next().get();
             if progress.next > log.last().index || outstanding > WINDOW_ENTRY_COUNT {
                 return None;
@@ -351,7 +354,7 @@
         }
     }
     let entries = log.slice(progress.next, source.limit_bytes).to_vec();
-    if matches!(progress.mode, Mode::Stream) {
+    if matches!(progress.mode, ReplicationMode::Stream) {
         progress.next = entries.last().map_or(progress.next, |entry| entry.index.next());
     }
     let previous = LogPosition { index: previous, term: term? };
--- a/crates/yuccatack_replication/src/state/membership_change.rs
+++ b/crates/yuccatack_replication/src/state/membership_change.rs
@@ -22,7 +22,7 @@
     pub number: ChangeNumber,
     change: MembershipChange,
     /// Commit index at the time of the request.
-    needed: LogIndex,
+    required_index: LogIndex,
     deadline: TimestampMs,
     /// `true` once the change is in the log.
     appended: bool,
@@ -54,8 +54,8 @@
         apply_change(self.membership(), change, Incarnation::default())?;
         let timeout_ms = PROMOTION_TIMEOUT_FACTOR * self.settings.election_timeout.get();
         let deadline = self.now + yuccatack_core::DurationMs::new(timeout_ms);
-        let needed = self.commit;
-        let active = ActiveChange { number, change, needed, deadline, appended: false };
+        let required_index = self.commit;
+        let active = ActiveChange { number, change, required_index, deadline, appended: false };
         if let Role::Leader(leader) = &mut self.role {
             leader.change = Some(active);
         }
@@ -87,10 +87,10 @@
     fn ready_membership(&self, active: &ActiveChange) -> Result<Membership, ChangeError> {
         let mut incarnation = Incarnation::default();
         if let MembershipChange::Promote { replica, .. } = active.change {
-            incarnation = self.caught_up_incarnation(replica, active.needed)?;
+            incarnation = self.caught_up_incarnation(replica, active.required_index)?;
         }
         let next = apply_change(self.membership(), active.change, incarnation)?;
-        self.require_quorum_holds(&next, active.needed)?;
+        self.require_quorum_holds(&next, active.required_index)?;
         if next.voters == self.membership().voters {
             return Ok(next);
         }
@@ -98,21 +98,24 @@
         Ok(Membership { outgoing, ..next })
     }
 
-    /// Returns the data folder of a learner, if it holds all entries up to `needed` on disk.
+    /// Returns the data folder of a learner, if it holds all entries up to `required_index`.
     ///
     /// Otherwise the repaired cluster would count a voter that lacks committed entries, which
     /// cannot help when another voter is lost right after the repair.
     fn caught_up_incarnation(
         &self,
         replica: ReplicaId,
-        needed: LogIndex,
+        required_index: LogIndex,
     ) -> Result<Incarnation, ChangeError> {
         let Role::Leader(leader) = &self.role else { return Err(ChangeError::Unknown) };
         let progress = leader.progress.get(&replica).ok_or(ChangeError::WrongRole { replica })?;
         let known = progress.incarnation != Incarnation::default();
-        if !known || progress.matched < needed || !self.responded_recently(progress.last_response) {
+        if !known
+            || progress.matched < required_index
+            || !self.responded_recently(progress.last_response)
+        {
             let matched = progress.matched;
-            return Err(ChangeError::LearnerBehind { replica, matched, needed });
+            return Err(ChangeError::LearnerBehind { replica, matched, needed: required_index });
         }
         Ok(progress.incarnation)
     }
@@ -121,15 +124,20 @@
         self.now.since(response) <= self.settings.election_timeout
     }
 
-    fn require_quorum_holds(&self, next: &Membership, needed: LogIndex) -> Result<(), ChangeError> {
+    fn require_quorum_holds(
+        &self,
+        next: &Membership,
+        required_index: LogIndex,
+    ) -> Result<(), ChangeError> {
         let Role::Leader(leader) = &self.role else { return Err(ChangeError::Unknown) };
         let has_required_entries = |replica: &ReplicaId| {
             if *replica == self.settings.replica {
-                return self.synced_index >= needed;
+                return self.synced_index >= required_index;
             }
             // A voter that has not responded recently may have lost its data folder.
             leader.progress.get(replica).is_some_and(|progress| {
-                progress.matched >= needed && self.responded_recently(progress.last_response)
+                progress.matched >= required_index
+                    && self.responded_recently(progress.last_response)
             })
         };
         let holders = next.voters.keys().filter(|replica| has_required_entries(replica)).count();
@@ -181,14 +189,14 @@
 /// Returns the membership after `change`; `incarnation` is that of a promoted learner's data
 /// folder.
 fn apply_change(
-    present: &Membership,
+    current: &Membership,
     change: MembershipChange,
     incarnation: Incarnation,
 ) -> Result<Membership, ChangeError> {
-    let mut next = present.clone();
+    let mut next = current.clone();
     match change {
         MembershipChange::AddLearner { replica, address } => {
-            if present.member(replica).is_some() || replica == ReplicaId::NONE {
+            if current.member(replica).is_some() || replica == ReplicaId::NONE {
                 return Err(ChangeError::AlreadyMember { replica });
             }
             next.learners.insert(replica, Member { address, incarnation });
--- a/crates/yuccatack_replication/src/state/mod.rs
+++ b/crates/yuccatack_replication/src/state/mod.rs
@@ -104,7 +104,7 @@
         let snapshot_index =
             snapshot.as_ref().map_or(LogIndex::default(), |snapshot| snapshot.last.index);
         let synced_index = log.last().index;
-        assert!(synced_index >= snapshot_index, "the log ends before the snapshot");
+        assert!(synced_index >= snapshot_index, "log ends at {synced_index}, before the snapshot");
         let mut replica = Self {
             settings,
             random: ChaCha8Rng::seed_from_u64(seed),
--- a/crates/yuccatack_replication/src/state/progress.rs
+++ b/crates/yuccatack_replication/src/state/progress.rs
@@ -10,7 +10,7 @@
 
 /// Replication mode of a member.
 #[derive(Debug)]
-pub(super) enum Mode {
+pub(super) enum ReplicationMode {
     /// Searches for the position up to which the logs match, one message at a time.
     Probe {
         /// `true` while a response is pending.
@@ -40,7 +40,7 @@
     pub matched: LogIndex,
     /// Next index to send.
     pub next: LogIndex,
-    pub mode: Mode,
+    pub mode: ReplicationMode,
     /// Time of the member's last response.
     pub last_response: TimestampMs,
     /// Time at which `matched` last increased or sending resumed.
@@ -55,7 +55,7 @@
             incarnation,
             matched: LogIndex::default(),
             next,
-            mode: Mode::Probe { waiting: false },
+            mode: ReplicationMode::Probe { waiting: false },
             last_response: now,
             last_progress: now,
             round: 0,
@@ -68,31 +68,31 @@
             self.last_progress = now;
         }
         self.next = self.next.max(self.matched.next());
-        let sending_snapshot = matches!(&self.mode, Mode::Snapshot(transfer)
+        let sending_snapshot = matches!(&self.mode, ReplicationMode::Snapshot(transfer)
             if transfer.snapshot.last.index > self.matched);
         if !sending_snapshot {
-            self.mode = Mode::Stream;
+            self.mode = ReplicationMode::Stream;
         }
     }
 
     pub fn reject(&mut self, match_upper_bound: LogIndex) {
         self.next = match_upper_bound.next().max(self.matched.next());
-        self.mode = Mode::Probe { waiting: false };
+        self.mode = ReplicationMode::Probe { waiting: false };
     }
 
     /// Schedules unacknowledged entries or chunks to be sent again after a timeout; probes are sent
     /// again at once.
     pub fn resend_if_stalled(&mut self, now: TimestampMs, timeout_ms: u64) {
         match &mut self.mode {
-            Mode::Probe { waiting } => *waiting = false,
-            Mode::Stream => {
+            ReplicationMode::Probe { waiting } => *waiting = false,
+            ReplicationMode::Stream => {
                 let outstanding = self.next > self.matched.next();
                 if outstanding && now.since(self.last_progress).get() > timeout_ms {
                     self.next = self.matched.next();
-                    self.mode = Mode::Probe { waiting: false };
+                    self.mode = ReplicationMode::Probe { waiting: false };
                 }
             }
-            Mode::Snapshot(transfer) => {
+            ReplicationMode::Snapshot(transfer) => {
                 let stalled =
                     transfer.sent_at.is_some_and(|sent| now.since(sent).get() > 2 * timeout_ms);
                 if stalled {
--- a/crates/yuccatack_replication/src/state/snapshots.rs
+++ b/crates/yuccatack_replication/src/state/snapshots.rs
@@ -1,10 +1,10 @@
-//! Taking, sending and installing snapshots.
+//! Snapshots: storage on request, transfer to members in chunks, and installation.
 
 use bytes::Bytes;
 use yuccatack_core::{Incarnation, TimestampMs};
 
 use super::Replica;
-use super::progress::{Mode, Progress, SnapshotTransfer};
+use super::progress::{Progress, ReplicationMode, SnapshotTransfer};
 use crate::identifiers::{LogIndex, ReplicaId};
 use crate::membership::Membership;
 use crate::message::{AppendOutcome, MessageBody};
@@ -166,7 +166,7 @@
 
 impl Progress {
     fn on_chunk_received(&mut self, index: LogIndex, received_bytes: u64, now: TimestampMs) {
-        let Mode::Snapshot(transfer) = &mut self.mode else { return };
+        let ReplicationMode::Snapshot(transfer) = &mut self.mode else { return };
         if transfer.snapshot.last.index != index {
             return;
         }
--- a/crates/yuccatack_replication/src/state/view.rs
+++ b/crates/yuccatack_replication/src/state/view.rs
@@ -34,7 +34,7 @@
     pub leader: Option<ReplicaId>,
     /// Address of the leader, if known.
     pub leader_address: Option<SocketAddr>,
-    /// Commit index.
+    /// Index of the last entry known to be committed.
     pub commit: LogIndex,
     /// Index of the last entry that was delivered.
     pub delivered: LogIndex,
--- a/crates/yuccatack_replication/src/wire.rs
+++ b/crates/yuccatack_replication/src/wire.rs
@@ -30,13 +30,13 @@
         source: rmp_serde::decode::Error,
     },
     /// The kind byte of a stored entry is not supported.
-    #[snafu(display("unknown entry kind {kind}"))]
+    #[snafu(display("a stored entry has the unknown kind {kind}"))]
     UnknownKind {
         /// Kind byte of the entry.
         kind: u8,
     },
     /// The stored entry is empty, so it has no kind byte.
-    #[snafu(display("an entry has no kind"))]
+    #[snafu(display("a stored entry is empty and has no kind"))]
     NoKind,
 }
 
--- a/crates/yuccatack_replication/tests/cluster/mod.rs
+++ b/crates/yuccatack_replication/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster of replicas in one process, on loopback and with real files.
+//! Cluster of replicas in one process, on loopback and with real files.
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
 use std::collections::BTreeMap;
@@ -17,14 +17,14 @@
     ReplicationHandle, start,
 };
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct Node {
     pub handle: ReplicationHandle,
     pub committed: mpsc::Receiver<Committed>,
     pub applied: Vec<(LogIndex, Bytes)>,
     pub snapshot: Option<(LogIndex, Bytes)>,
-    /// The shortest snapshot that this node makes.
+    /// Minimum size of the snapshots that this node takes.
     pub snapshot_bytes: usize,
     shutdown: Option<oneshot::Sender<()>>,
     server: tokio::task::JoinHandle<()>,
@@ -38,7 +38,7 @@
     pub snapshot_entry_count: u64,
 }
 
-/// The made-up state as of `index`: a text, and bytes that differ from place to place.
+/// Returns the test state as of `index`: a text, padded with bytes that depend on their offset.
 pub fn state_at(index: LogIndex, shortest_bytes: usize) -> Bytes {
     let mut state = format!("state at {index}").into_bytes();
     while state.len() < shortest_bytes {
@@ -128,17 +128,17 @@
         let mut node = self.nodes.remove(&id).unwrap();
         node.handle.clone().stop().await;
         let _ = node.shutdown.take().unwrap().send(());
-        timeout(PATIENCE, node.server).await.unwrap().unwrap();
+        timeout(WAIT_TIMEOUT, node.server).await.unwrap().unwrap();
     }
 
-    /// Waits until some replica leads and has everything of earlier terms.
+    /// Waits until a replica leads and has delivered all entries of earlier terms.
     pub async fn leader(&mut self) -> ReplicaId {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             for (id, node) in &mut self.nodes {
                 while let Ok(item) = node.committed.try_recv() {
                     let leads = matches!(item, Committed::Leadership(Leadership::Leader { .. }));
-                    node.take(item);
+                    node.apply(item);
                     if leads {
                         return *id;
                     }
@@ -155,8 +155,8 @@
 }
 
 impl Node {
-    /// Applies one item; the state is the list of commands.
-    pub fn take(&mut self, item: Committed) {
+    /// Applies an item to the state, which is the list of commands.
+    pub fn apply(&mut self, item: Committed) {
         match item {
             Committed::Entry { index, payload, .. } => self.applied.push((index, payload)),
             Committed::Snapshot { index, payload } => {
@@ -170,25 +170,25 @@
         }
     }
 
-    /// Applies items until `is_wanted` accepts one.
-    pub async fn until(&mut self, is_wanted: impl Fn(&Committed) -> bool) -> Committed {
-        timeout(PATIENCE, async {
+    /// Applies items until `is_wanted` accepts one, and returns it.
+    pub async fn wait_for(&mut self, is_wanted: impl Fn(&Committed) -> bool) -> Committed {
+        timeout(WAIT_TIMEOUT, async {
             loop {
                 let item = self.committed.recv().await.expect("the replica stopped");
-                self.take(item.clone());
+                self.apply(item.clone());
                 if is_wanted(&item) {
                     return item;
                 }
             }
         })
         .await
-        .expect("nothing in time")
+        .expect("expected item within the wait timeout")
     }
 
     pub async fn propose(&mut self, number: u64, payload: &str) -> Committed {
         let id = ProposalId::new(number);
         self.handle.propose(id, Bytes::copy_from_slice(payload.as_bytes()));
-        self.until(|item| match item {
+        self.wait_for(|item| match item {
             Committed::Entry { proposal, .. } => *proposal == Some(id),
             Committed::ProposalFailed { proposal, .. } => *proposal == id,
             _ => false,
@@ -199,19 +199,21 @@
     pub async fn read(&mut self, number: u64) -> Committed {
         let id = ReadId::new(number);
         self.handle.read(id);
-        self.until(|item| match item {
+        self.wait_for(|item| match item {
             Committed::ReadReady { read } | Committed::ReadFailed { read, .. } => *read == id,
             _ => false,
         })
         .await
     }
 
-    pub async fn until_entry(&mut self, payload: &str) {
+    pub async fn wait_for_entry(&mut self, payload: &str) {
         let wanted = Bytes::copy_from_slice(payload.as_bytes());
         if self.applied.iter().any(|(_, applied)| *applied == wanted) {
             return;
         }
-        self.until(|item| matches!(item, Committed::Entry { payload, .. } if *payload == wanted))
-            .await;
+        self.wait_for(
+            |item| matches!(item, Committed::Entry { payload, .. } if *payload == wanted),
+        )
+        .await;
     }
 }
--- a/crates/yuccatack_replication/tests/commit_rule.rs
+++ b/crates/yuccatack_replication/tests/commit_rule.rs
@@ -1,4 +1,4 @@
-//! What a new leader may count as committed.
+//! Commit rule for entries of older terms.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::net::SocketAddr;
@@ -19,7 +19,8 @@
     Incarnation::new(100 + number)
 }
 
-/// Replica 1 of three, in term 3, with an entry of term 2 that it never saw committed.
+/// Creates replica 1 of three, in term 3, with an entry of term 2 that it does not know to be
+/// committed.
 fn replica_with_old_entry() -> Replica {
     let member = |number| Member { address: address(number), incarnation: incarnation(number) };
     let voters = (1..=3).map(|number| (ReplicaId::new(number), member(number))).collect();
@@ -55,7 +56,7 @@
     Replica::new(settings, recovered, 1, TimestampMs::new(0))
 }
 
-fn answer(term: u64, body: MessageBody) -> Input {
+fn message(term: u64, body: MessageBody) -> Input {
     Input::Message(Message {
         from: ReplicaId::new(2),
         from_incarnation: incarnation(2),
@@ -68,7 +69,7 @@
     })
 }
 
-/// Hands an input over and confirms the writes that it causes.
+/// Handles an input and confirms the writes that it requests.
 fn step(replica: &mut Replica, input: Input) {
     let now = TimestampMs::new(500);
     replica.step(input, now);
@@ -77,21 +78,21 @@
     }
 }
 
-/// Guards against committing an entry of an older term because a quorum holds it: a replica with a
+/// Guards against committing an entry of an older term because a quorum holds it. A replica with a
 /// newer last term can still be elected and replace the entry.
 #[test]
-fn old_terms_commit_with_the_own_term() {
+fn old_terms_commit_with_own_term() {
     let mut replica = replica_with_old_entry();
     step(&mut replica, Input::Tick);
     for pre_vote in [true, false] {
         let for_term = Term::new(4);
         let body = MessageBody::VoteResponse { for_term, pre_vote, granted: true };
-        step(&mut replica, answer(if pre_vote { 3 } else { 4 }, body));
+        step(&mut replica, message(if pre_vote { 3 } else { 4 }, body));
     }
     assert_eq!(replica.view().role, RoleView::Leader);
     let accepted = |index| {
         let matched = LogIndex::new(index);
-        answer(4, MessageBody::AppendResponse(AppendOutcome::Accepted { matched }))
+        message(4, MessageBody::AppendResponse(AppendOutcome::Accepted { matched }))
     };
     step(&mut replica, accepted(2));
     assert_eq!(replica.view().commit, LogIndex::new(0), "an entry of term 2 was committed alone");
--- a/crates/yuccatack_replication/tests/log_service.rs
+++ b/crates/yuccatack_replication/tests/log_service.rs
@@ -1,4 +1,4 @@
-//! Proposals, reads, restarts and hand-over of the whole replica on loopback with real files.
+//! Proposals, reads, restarts and leadership transfer of replicas on loopback with real files.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod cluster;
@@ -6,9 +6,9 @@
 use cluster::{Cluster, replica, state_at};
 use yuccatack_replication::{Committed, ProposalFailure};
 
-/// Guards against losing acknowledged entries on a restart.
+/// Guards against losing acknowledged entries when all replicas restart.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn committed_entries_survive_restarts_of_all_replicas() {
+async fn entries_survive_restarts() {
     for voter_count in [1, 3, 5] {
         let mut cluster = Cluster::new(voter_count, 10_000).await;
         let leader = cluster.leader().await;
@@ -28,22 +28,23 @@
         let applied = &cluster.node(leader).applied;
         assert_eq!(applied.len(), 20, "{voter_count} voters");
         for id in ids {
-            cluster.node(id).until_entry("command 19").await;
+            cluster.node(id).wait_for_entry("command 19").await;
             assert_eq!(cluster.node(id).applied.len(), 20);
         }
     }
 }
 
-/// Guards against a follower that accepts proposals or reads, or hides the leader's address.
+/// Guards against a follower that accepts proposals or reads, or does not report the leader's
+/// address.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn followers_refuse_and_name_the_leader() {
+async fn followers_redirect_to_leader() {
     let mut cluster = Cluster::new(3, 10_000).await;
     let leader = cluster.leader().await;
     cluster.node(leader).propose(1, "first").await;
     let expected = Some(cluster.addresses[&leader]);
     let followers: Vec<_> = cluster.nodes.keys().copied().filter(|id| *id != leader).collect();
     for id in followers {
-        cluster.node(id).until_entry("first").await;
+        cluster.node(id).wait_for_entry("first").await;
         let item = cluster.node(id).propose(2, "second").await;
         let Committed::ProposalFailed { failure, .. } = item else { panic!("{item:?}") };
         assert_eq!(failure, ProposalFailure::NotLeader { leader_address: expected });
@@ -51,9 +52,9 @@
     }
 }
 
-/// Guards against a planned stop that waits for an election timeout or loses entries.
+/// Guards against a planned stop of the leader that waits for an election timeout or loses entries.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn handover_moves_the_lead() {
+async fn transfer_moves_leadership() {
     let mut cluster = Cluster::new(3, 10_000).await;
     let old = cluster.leader().await;
     cluster.node(old).propose(1, "before").await;
@@ -78,20 +79,20 @@
         cluster.node(leader).propose(number, &format!("command {number}")).await;
     }
     cluster.start(late).await;
-    cluster.node(late).until_entry("command 299").await;
+    cluster.node(late).wait_for_entry("command 299").await;
     let (index, payload) = cluster.node(late).snapshot.clone().expect("a snapshot");
     assert_eq!(payload, state_at(index, 0));
     assert!(cluster.node(late).applied.len() < 150);
 
     cluster.stop(late).await;
     cluster.start(late).await;
-    cluster.node(late).until(|item| matches!(item, Committed::Snapshot { .. })).await;
-    cluster.node(late).until_entry("command 299").await;
+    cluster.node(late).wait_for(|item| matches!(item, Committed::Snapshot { .. })).await;
+    cluster.node(late).wait_for_entry("command 299").await;
 }
 
-/// Guards against a snapshot of several messages that arrives incomplete or out of order.
+/// Guards against a snapshot of several chunks that is assembled incompletely or out of order.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn large_snapshots_arrive_whole() {
+async fn large_snapshots_arrive_complete() {
     const SNAPSHOT_BYTES: usize = 9_000_001;
     let mut cluster = Cluster::new(3, 50).await;
     let leader = cluster.leader().await;
@@ -102,7 +103,7 @@
         cluster.node(leader).propose(number, &format!("command {number}")).await;
     }
     cluster.start(late).await;
-    cluster.node(late).until_entry("command 599").await;
+    cluster.node(late).wait_for_entry("command 599").await;
     let (index, payload) = cluster.node(late).snapshot.clone().expect("a snapshot");
     assert!(payload == state_at(index, SNAPSHOT_BYTES), "the snapshot at {index} differs");
 }
--- a/crates/yuccatack_replication/tests/replica_repair.rs
+++ b/crates/yuccatack_replication/tests/replica_repair.rs
@@ -1,5 +1,5 @@
-//! Repair of a running cluster on loopback with real files: a voter loses its folder, and a new
-//! replica takes its place.
+//! Repair of a running cluster on loopback with real files: a voter loses its data folder, and a
+//! new replica replaces it.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod cluster;
@@ -7,10 +7,10 @@
 use cluster::{Cluster, replica};
 use yuccatack_replication::{ChangeError, Committed, MembershipChange};
 
-/// Guards against a repair that fails outside the simulation: the new replica must find its leader
-/// from the leader's own messages, receive a snapshot, and vote after its promotion.
+/// Guards against a repair that works only in the simulation. The new replica must learn the
+/// leader's address from its messages, receive a snapshot, and vote after its promotion.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn new_replica_takes_the_place_of_a_lost_one() {
+async fn new_replica_replaces_lost_voter() {
     let mut cluster = Cluster::new(3, 50).await;
     let leader = cluster.leader().await;
     for number in 0..200 {
@@ -34,14 +34,14 @@
     let voters: Vec<_> = handle.status().borrow().voters.keys().copied().collect();
     assert!(voters.contains(&new) && !voters.contains(&lost) && voters.len() == 3);
 
-    // A second VM is lost right after the repair.
+    // A second voter is lost right after the repair.
     let second = *cluster.nodes.keys().find(|id| ![leader, new].contains(id)).unwrap();
     cluster.stop(second).await;
     let item = cluster.node(leader).propose(500, "after the repair").await;
     assert!(matches!(item, Committed::Entry { .. }), "{item:?}");
-    cluster.node(new).until_entry("after the repair").await;
+    cluster.node(new).wait_for_entry("after the repair").await;
 
-    // The lost replica returns with an empty folder and must stay outside.
+    // The lost replica returns with an empty data folder and must not count as a voter.
     cluster.start(lost).await;
     cluster.stop(new).await;
     let item = cluster.node(leader).propose(501, "by one voter of three").await;
--- a/crates/yuccatack_replication/tests/simulation/checks.rs
+++ b/crates/yuccatack_replication/tests/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold in every run.
+//! Invariants that every run must keep.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,24 @@
 use yuccatack_core::Incarnation;
 use yuccatack_replication::{ClusterId, LogEntry, LogIndex, ProposalId, ReadId, ReplicaId, Term};
 
-/// The history that all replicas must agree on.
+/// History that all replicas must agree on.
 #[derive(Default)]
 pub struct History {
-    /// The committed commands in order, as first delivered by any replica.
+    /// Committed commands in order, as first delivered by any replica.
     pub commands: Vec<(LogIndex, Term, Bytes)>,
     leaders: BTreeMap<(ClusterId, Term), (ReplicaId, Incarnation)>,
     entries: BTreeMap<(ClusterId, LogIndex, Term), (Option<Term>, LogEntry)>,
-    /// The newest index that an answered proposal or read has shown to a client.
-    pub shown: LogIndex,
+    /// Highest index that a client has observed by an acknowledged proposal or a served read.
+    pub observed: LogIndex,
     proposals: BTreeMap<ProposalId, (LogIndex, Bytes)>,
-    refused: Vec<Bytes>,
+    rejected: Vec<Bytes>,
     reads: BTreeMap<ReadId, LogIndex>,
     pub acknowledged_count: u64,
     pub read_count: u64,
 }
 
 impl History {
-    /// At most one leader a term.
+    /// Checks that a term has at most one leader.
     pub fn check_leader(
         &mut self,
         cluster: ClusterId,
@@ -35,7 +35,8 @@
         assert_eq!(leader, (replica, incarnation), "two leaders in term {term}");
     }
 
-    /// Entries of equal index and term are equal, and so are those before them.
+    /// Checks log matching: entries of equal index and term are equal, and so are their
+    /// predecessors.
     pub fn check_entries(&mut self, cluster: ClusterId, entries: &[LogEntry]) {
         let mut previous = None;
         for entry in entries {
@@ -43,14 +44,14 @@
             let known = self.entries.entry(key).or_insert_with(|| (previous, entry.clone()));
             assert_eq!(known.1, *entry, "log matching: entry {key:?} differs");
             if let (Some(known), Some(found)) = (known.0, previous) {
-                assert_eq!(known, found, "log matching: the entry before {key:?} differs");
+                assert_eq!(known, found, "log matching: the predecessor of {key:?} differs");
             }
             known.0 = known.0.or(previous);
             previous = Some(entry.term);
         }
     }
 
-    /// A replica delivers its `count`-th command.
+    /// Checks that a replica's command at position `count` is the one that all replicas delivered.
     pub fn deliver(&mut self, count: usize, index: LogIndex, term: Term, payload: &Bytes) {
         let command = (index, term, payload.clone());
         match self.commands.get(count) {
@@ -58,64 +59,68 @@
             None => {
                 assert_eq!(count, self.commands.len());
                 let last = self.commands.last().map_or(LogIndex::default(), |known| known.0);
-                assert!(index > last, "a command was committed before an older one");
+                assert!(index > last, "command at {index} was delivered after that at {last}");
                 self.commands.push(command);
             }
         }
     }
 
-    /// A replica takes over a state that includes `count` commands as of `index`.
+    /// Checks that a snapshot as of `index` includes exactly the first `count` commands.
     pub fn deliver_snapshot(&mut self, count: usize, index: LogIndex) {
-        assert!(count <= self.commands.len(), "a snapshot of commands that were never committed");
+        assert!(count <= self.commands.len(), "snapshot at {index} has uncommitted commands");
         let last = count.checked_sub(1).map(|position| self.commands[position].0);
         assert!(last.is_none_or(|last| last <= index));
         let next = self.commands.get(count).map(|command| command.0);
-        assert!(next.is_none_or(|next| next > index), "a snapshot lacks a committed command");
+        assert!(next.is_none_or(|next| next > index), "snapshot at {index} lacks a commit");
     }
 
     pub fn propose(&mut self, proposal: ProposalId, payload: Bytes) {
-        self.proposals.insert(proposal, (self.shown, payload));
+        self.proposals.insert(proposal, (self.observed, payload));
     }
 
     pub fn acknowledge(&mut self, proposal: ProposalId, index: LogIndex, payload: &Bytes) {
-        let (shown, proposed) = self.proposals.remove(&proposal).expect("a second answer");
-        assert_eq!(proposed, *payload, "a proposal got the answer of another one");
-        assert!(index > shown, "a proposal was committed before what its client had seen");
-        self.shown = self.shown.max(index);
+        let (observed, proposed) = self.proposals.remove(&proposal).expect("a second result");
+        assert_eq!(proposed, *payload, "proposal {proposal} got the result of another one");
+        assert!(
+            index > observed,
+            "proposal at {index} precedes {observed}, which a client observed"
+        );
+        self.observed = self.observed.max(index);
         self.acknowledged_count += 1;
     }
 
-    /// The command must never be committed.
-    pub fn refuse(&mut self, proposal: ProposalId) {
-        let (_, payload) = self.proposals.remove(&proposal).expect("a second answer");
-        self.refused.push(payload);
+    /// Records a rejected proposal; its command must never be committed.
+    pub fn mark_rejected(&mut self, proposal: ProposalId) {
+        let (_, payload) = self.proposals.remove(&proposal).expect("a second result");
+        self.rejected.push(payload);
     }
 
-    /// The outcome stays open.
-    pub fn leave_open(&mut self, proposal: ProposalId) {
-        self.proposals.remove(&proposal).expect("a second answer");
+    /// Records that the outcome of a proposal is unknown, so that either is valid.
+    pub fn mark_unknown(&mut self, proposal: ProposalId) {
+        self.proposals.remove(&proposal).expect("a second result");
     }
 
     pub fn read(&mut self, read: ReadId) {
-        self.reads.insert(read, self.shown);
+        self.reads.insert(read, self.observed);
     }
 
-    /// A read sees at least what any client had seen when it was requested.
-    pub fn answer_read(&mut self, read: ReadId, applied: LogIndex) {
-        let shown = self.reads.remove(&read).expect("a second answer");
-        assert!(applied >= shown, "a read at {applied} misses {shown}: not linearizable");
-        self.shown = self.shown.max(applied);
+    /// Checks linearizability: a read sees at least what any client had observed when the read was
+    /// requested.
+    pub fn complete_read(&mut self, read: ReadId, applied: LogIndex) {
+        let observed = self.reads.remove(&read).expect("a second result");
+        assert!(applied >= observed, "read at {applied} misses {observed}: not linearizable");
+        self.observed = self.observed.max(applied);
         self.read_count += 1;
     }
 
     pub fn fail_read(&mut self, read: ReadId) {
-        self.reads.remove(&read).expect("a second answer");
+        self.reads.remove(&read).expect("a second result");
     }
 
-    pub fn check_refused(&self) {
-        for payload in &self.refused {
+    pub fn check_rejected(&self) {
+        for payload in &self.rejected {
             let committed = self.commands.iter().any(|(_, _, command)| command == payload);
-            assert!(!committed, "a refused command was committed: {payload:?}");
+            assert!(!committed, "a rejected command was committed: {payload:?}");
         }
     }
 }
--- a/crates/yuccatack_replication/tests/simulation/clients.rs
+++ b/crates/yuccatack_replication/tests/simulation/clients.rs
@@ -1,22 +1,22 @@
-//! What the user of each replica does with delivered items, and what clients request.
+//! Simulated user of each replica, which applies delivered items, and the requests of clients.
 
 use bytes::Bytes;
 use yuccatack_replication::state::{Input, RoleView};
 use yuccatack_replication::{Committed, ProposalFailure, ProposalId, ReadId, ReplicaId};
 
-use super::world::{Node, World};
+use super::simulator::{Node, Simulator};
 
-impl World {
-    pub(super) fn take(&mut self, id: ReplicaId, item: Committed) {
+impl Simulator {
+    pub(super) fn apply(&mut self, id: ReplicaId, item: Committed) {
         let Some(process) = self.nodes.get_mut(&id).and_then(|node| node.process.as_mut()) else {
             return;
         };
         match item {
             Committed::Entry { index, term, proposal, payload } => {
-                self.history.deliver(process.count, index, term, &payload);
-                process.count += 1;
-                process.applied = index;
-                let count = process.count as u64;
+                self.history.deliver(process.applied_count, index, term, &payload);
+                process.applied_count += 1;
+                process.applied_index = index;
+                let count = process.applied_count as u64;
                 if let Some(proposal) = proposal {
                     process.open_proposals.remove(&proposal);
                     self.history.acknowledge(proposal, index, &payload);
@@ -28,25 +28,28 @@
             Committed::Snapshot { index, payload } => {
                 let count = u64::from_le_bytes(payload.as_ref().try_into().unwrap()) as usize;
                 self.history.deliver_snapshot(count, index);
-                assert!(count >= process.count, "a snapshot took the state back");
-                process.count = count;
-                process.applied = index;
+                assert!(
+                    count >= process.applied_count,
+                    "snapshot at {index} reverts applied commands"
+                );
+                process.applied_count = count;
+                process.applied_index = index;
             }
             Committed::SnapshotRequested { index } => {
-                let payload = Bytes::copy_from_slice(&(process.count as u64).to_le_bytes());
+                let payload = Bytes::copy_from_slice(&(process.applied_count as u64).to_le_bytes());
                 self.input(id, Input::StoreSnapshot { index, payload });
             }
             Committed::ProposalFailed { proposal, failure } => {
                 process.open_proposals.remove(&proposal);
                 match failure {
-                    ProposalFailure::NotLeader { .. } => self.history.refuse(proposal),
-                    ProposalFailure::Unknown => self.history.leave_open(proposal),
+                    ProposalFailure::NotLeader { .. } => self.history.mark_rejected(proposal),
+                    ProposalFailure::Unknown => self.history.mark_unknown(proposal),
                 }
             }
             Committed::ReadReady { read } => {
                 process.open_reads.remove(&read);
-                let applied = process.applied;
-                self.history.answer_read(read, applied);
+                let applied_index = process.applied_index;
+                self.history.complete_read(read, applied_index);
             }
             Committed::ReadFailed { read, .. } => {
                 process.open_reads.remove(&read);
@@ -57,7 +60,7 @@
     }
 
     pub fn propose(&mut self, id: ReplicaId) -> Option<ProposalId> {
-        let number = self.number();
+        let number = self.next_number();
         let proposal = ProposalId::new(number);
         let payload = Bytes::from(format!("command {number}"));
         self.process_mut(id)?.open_proposals.insert(proposal);
@@ -67,14 +70,14 @@
     }
 
     pub fn read(&mut self, id: ReplicaId) {
-        let read = ReadId::new(self.number());
+        let read = ReadId::new(self.next_number());
         let Some(process) = self.process_mut(id) else { return };
         process.open_reads.insert(read);
         self.history.read(read);
         self.input(id, Input::Read { read });
     }
 
-    /// One line a replica, for a failed run.
+    /// Returns one line per replica with its state, for the message of a failed run.
     pub fn describe(&self) -> String {
         let line = |(id, node): (&ReplicaId, &Node)| {
             let incarnation = node.disk.incarnation;
@@ -84,7 +87,7 @@
         self.nodes.iter().map(line).collect()
     }
 
-    /// The leader of the newest term, as the replicas themselves see it.
+    /// Returns the replica that considers itself the leader of the newest term.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader_except(ReplicaId::NONE)
     }
--- a/crates/yuccatack_replication/tests/simulation/disk.rs
+++ b/crates/yuccatack_replication/tests/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that keeps what was synced.
+//! Simulated disk that keeps only synced writes.
 
 use yuccatack_core::Incarnation;
 use yuccatack_replication::{
@@ -41,7 +41,7 @@
     pub fn append(&mut self, entries: &[LogEntry]) {
         let Some(first) = entries.first() else { return };
         let kept = first.index.get() - self.base.index.get() - 1;
-        assert!(kept <= self.entries.len() as u64, "a gap in the log on disk");
+        assert!(kept <= self.entries.len() as u64, "gap before entry {} on disk", first.index);
         self.entries.truncate(kept as usize);
         self.entries.extend_from_slice(entries);
     }
@@ -50,7 +50,7 @@
         self.entries.last().map_or(self.base.index, |entry| entry.index)
     }
 
-    /// The newest membership on the disk.
+    /// Returns the newest membership on the disk, committed or not.
     pub fn membership(&self) -> Membership {
         let in_log = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             EntryPayload::Membership(membership) => Some(membership.clone()),
@@ -60,8 +60,8 @@
         in_log.or(in_snapshot).unwrap_or_default()
     }
 
-    /// What the replica reads back, with the rule of the real store for a received snapshot whose
-    /// log was not restarted yet.
+    /// Returns the state that a replica recovers. As in the real store, a received snapshot
+    /// replaces a log that was not restarted before the process ended.
     pub fn recover(&mut self) -> Recovered {
         if let Some(snapshot) = &self.snapshot {
             let term = if snapshot.last.index == self.base.index {
--- a/crates/yuccatack_replication/tests/simulation/mod.rs
+++ b/crates/yuccatack_replication/tests/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas under virtual time: a lossy network, disks that lose unsynced data, and checks.
+//! Simulation of replicas in virtual time: a lossy network, disks that lose unsynced data, and
+//! checks of the protocol's invariants.
 #![allow(clippy::unwrap_used, missing_docs, dead_code)]
 
 pub mod checks;
@@ -7,6 +8,6 @@
 pub mod faults;
 pub mod operator;
 pub mod seeds;
-pub mod world;
+pub mod simulator;
 
-pub use world::{World, WorldSettings};
+pub use simulator::{Simulator, SimulatorSettings};
--- a/crates/yuccatack_replication/tests/simulation/operator.rs
+++ b/crates/yuccatack_replication/tests/simulation/operator.rs
@@ -1,16 +1,16 @@
-//! An operator that replaces wiped voters and changes the membership at random.
+//! Simulated operator that replaces wiped voters and changes the membership at random.
 
 use rand::RngExt;
 use yuccatack_replication::state::{Input, RoleView};
 use yuccatack_replication::{ChangeNumber, Membership, MembershipChange, ReplicaId};
 
-use super::world::{World, address};
+use super::simulator::{Simulator, address};
 
-/// How many replicas a run may create; more would only make it slow.
+/// Highest replica number that a run may create; more would only slow the run down.
 const MAX_REPLICA_NUMBER: u64 = 40;
 
-/// A change that was requested and is not answered yet.
-pub struct Requested {
+/// Requested change without a result yet.
+pub struct RequestedChange {
     leader: ReplicaId,
     boot: u64,
     number: ChangeNumber,
@@ -19,10 +19,10 @@
 
 #[derive(Default)]
 pub struct Operator {
-    requested: Option<Requested>,
+    requested: Option<RequestedChange>,
     next_replica: u64,
     pub promotions: u64,
-    pub losses_after_repair: u64,
+    pub losses_after_promotion: u64,
 }
 
 impl Operator {
@@ -30,11 +30,12 @@
         Self { next_replica: voter_count, ..Self::default() }
     }
 
-    /// Looks at the cluster once; returns a change that has just succeeded.
-    pub fn act(&mut self, world: &mut World) -> Option<MembershipChange> {
+    /// Checks the requested change and requests the next one; returns a change that has just
+    /// succeeded.
+    pub fn step(&mut self, simulator: &mut Simulator) -> Option<MembershipChange> {
         if let Some(requested) = self.requested.take() {
             let key = (requested.leader, requested.boot, requested.number);
-            match world.finished_changes.remove(&key) {
+            match simulator.finished_changes.remove(&key) {
                 Some(Ok(())) => {
                     if let MembershipChange::Promote { .. } = requested.change {
                         self.promotions += 1;
@@ -43,70 +44,86 @@
                 }
                 Some(Err(_)) => return None,
                 None => {
-                    let alive = world.process(requested.leader).is_some_and(|process| {
-                        process.boot == requested.boot
-                            && process.replica.view().role == RoleView::Leader
-                    });
-                    if alive {
+                    let still_leading =
+                        simulator.process(requested.leader).is_some_and(|process| {
+                            process.boot == requested.boot
+                                && process.replica.view().role == RoleView::Leader
+                        });
+                    if still_leading {
                         self.requested = Some(requested);
                         return None;
                     }
                 }
             }
         }
-        let leader = world.leader()?;
-        let membership = world.process(leader)?.replica.membership().clone();
-        let change = self.choose(world, &membership)?;
-        self.request(world, leader, change);
+        let leader = simulator.leader()?;
+        let membership = simulator.process(leader)?.replica.membership().clone();
+        let change = self.choose(simulator, &membership)?;
+        self.request(simulator, leader, change);
         None
     }
 
-    pub fn request(&mut self, world: &mut World, leader: ReplicaId, change: MembershipChange) {
-        let number = ChangeNumber::new(world.number());
-        let Some(process) = world.process(leader) else { return };
+    pub fn request(
+        &mut self,
+        simulator: &mut Simulator,
+        leader: ReplicaId,
+        change: MembershipChange,
+    ) {
+        let number = ChangeNumber::new(simulator.next_number());
+        let Some(process) = simulator.process(leader) else { return };
         let needed = process.replica.view().commit;
         let boot = process.boot;
         if let MembershipChange::Promote { replica, .. } = change {
-            world.promotions.insert((leader, boot, number), (replica, needed));
+            simulator.promotions.insert((leader, boot, number), (replica, needed));
         }
-        self.requested = Some(Requested { leader, boot, number, change });
-        world.input(leader, Input::ChangeMembership { number, change });
+        self.requested = Some(RequestedChange { leader, boot, number, change });
+        simulator.input(leader, Input::ChangeMembership { number, change });
     }
 
-    fn choose(&mut self, world: &mut World, members: &Membership) -> Option<MembershipChange> {
+    fn choose(
+        &mut self,
+        simulator: &mut Simulator,
+        members: &Membership,
+    ) -> Option<MembershipChange> {
         let lost = members.voters.iter().find(|(id, member)| {
-            world.nodes.get(id).is_none_or(|node| node.disk.incarnation != member.incarnation)
+            simulator.nodes.get(id).is_none_or(|node| node.disk.incarnation != member.incarnation)
         });
         let lost = lost.map(|(id, _)| *id);
         let learner = members.learners.keys().next().copied();
         if let Some(replica) = learner {
-            if world.random.random_range(0..10) == 0 {
+            if simulator.random.random_range(0..10) == 0 {
                 return Some(MembershipChange::RemoveLearner { replica });
             }
             return Some(MembershipChange::Promote { replica, replaces: lost });
         }
-        let target = world.settings.voter_count as usize;
-        if lost.is_some() || members.voters.len() < target || world.random.random_range(0..30) == 0
+        let target = simulator.settings.voter_count as usize;
+        if lost.is_some()
+            || members.voters.len() < target
+            || simulator.random.random_range(0..30) == 0
         {
             if let Some(replica) = lost
                 && members.voters.len() > 1
-                && world.random.random_range(0..4) == 0
+                && simulator.random.random_range(0..4) == 0
             {
                 return Some(MembershipChange::RemoveVoter { replica });
             }
-            return self.add_learner(world, members);
+            return self.add_learner(simulator, members);
         }
         if members.voters.len() > target {
-            let position = world.random.random_range(0..members.voters.len());
+            let position = simulator.random.random_range(0..members.voters.len());
             let replica = *members.voters.keys().nth(position).unwrap();
             return Some(MembershipChange::RemoveVoter { replica });
         }
         None
     }
 
-    /// Adds a new replica, or a former one whose folder was wiped, under its old number.
-    fn add_learner(&mut self, world: &mut World, members: &Membership) -> Option<MembershipChange> {
-        let former: Vec<ReplicaId> = world
+    /// Adds a new replica, or a wiped former member under its old number.
+    fn add_learner(
+        &mut self,
+        simulator: &mut Simulator,
+        members: &Membership,
+    ) -> Option<MembershipChange> {
+        let former: Vec<ReplicaId> = simulator
             .nodes
             .iter()
             .filter(|(id, node)| {
@@ -116,14 +133,14 @@
             .map(|(id, _)| *id)
             .collect();
         let replica = match former.first() {
-            Some(former) if world.random.random_bool(0.5) => *former,
+            Some(former) if simulator.random.random_bool(0.5) => *former,
             _ => {
                 if self.next_replica >= MAX_REPLICA_NUMBER {
                     return None;
                 }
                 self.next_replica += 1;
                 let replica = ReplicaId::new(self.next_replica);
-                world.add_node(replica);
+                simulator.add_node(replica);
                 replica
             }
         };
--- a/crates/yuccatack_replication/tests/simulation/seeds.rs
+++ b/crates/yuccatack_replication/tests/simulation/seeds.rs
@@ -1,4 +1,5 @@
-//! Fixed seeds by default; `YUCCATACK_SEED` and `YUCCATACK_SEED_COUNT` choose others.
+//! Runs of a test with several seeds, which are fixed unless `YUCCATACK_SEED` and
+//! `YUCCATACK_SEED_COUNT` select others.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +11,7 @@
     }
 }
 
-/// Runs `run` with each seed on a few threads, and names the seeds that fail.
+/// Calls `run` with each seed, on up to 3 threads, and reports the seeds that fail.
 pub fn for_each_seed(default_count: u64, run: impl Fn(u64) + Sync) {
     let first = number("YUCCATACK_SEED", 1);
     let count = number("YUCCATACK_SEED_COUNT", default_count);
--- a/crates/yuccatack_replication/tests/simulation/world.rs
+++ b/crates/yuccatack_replication/tests/simulation/simulator.rs
@@ -1,4 +1,4 @@
-//! Replicas, their disks and their network on a virtual clock.
+//! Simulator of replicas, their disks and their network on a virtual clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,10 +19,11 @@
 pub const ELECTION_TIMEOUT_MS: u64 = 250;
 
 #[derive(Clone, Copy)]
-pub struct WorldSettings {
+pub struct SimulatorSettings {
     pub voter_count: u64,
     pub snapshot_entry_count: u64,
-    /// Small limits split what a leader sends, so that a member can hold a part of it.
+    /// Small limits split the leader's entries into several messages, so that a member may receive
+    /// only some of them.
     pub append_limit_bytes: usize,
 }
 
@@ -37,9 +38,9 @@
 pub struct Process {
     pub replica: Replica,
     pub boot: u64,
-    /// Commands applied, and the newest index seen; lost with the process.
-    pub count: usize,
-    pub applied: LogIndex,
+    /// Number of applied commands; lost with the process, as is `applied_index`.
+    pub applied_count: usize,
+    pub applied_index: LogIndex,
     pub frozen: bool,
     backlog: VecDeque<Input>,
     unsynced: VecDeque<PersistBatch>,
@@ -55,10 +56,10 @@
     pub process: Option<Process>,
 }
 
-pub struct World {
+pub struct Simulator {
     pub random: ChaCha8Rng,
     pub now: u64,
-    pub settings: WorldSettings,
+    pub settings: SimulatorSettings,
     pub nodes: BTreeMap<ReplicaId, Node>,
     pub history: History,
     pub blocked: BTreeSet<(ReplicaId, ReplicaId)>,
@@ -67,7 +68,7 @@
     pub max_delay_ms: u64,
     pub max_sync_ms: u64,
     pub finished_changes: BTreeMap<(ReplicaId, u64, ChangeNumber), Result<(), ChangeError>>,
-    /// Requested promotions: the learner, and the commit index at the request.
+    /// Requested promotions with the learner and the commit index at the time of the request.
     pub promotions: BTreeMap<(ReplicaId, u64, ChangeNumber), (ReplicaId, LogIndex)>,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
@@ -80,9 +81,9 @@
     SocketAddr::from(([10, 0, 0, replica.get() as u8], 7000))
 }
 
-impl World {
-    pub fn new(seed: u64, settings: WorldSettings) -> Self {
-        let mut world = Self {
+impl Simulator {
+    pub fn new(seed: u64, settings: SimulatorSettings) -> Self {
+        let mut simulator = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             settings,
@@ -102,9 +103,9 @@
             next_incarnation: 1_000,
         };
         for number in 1..=settings.voter_count {
-            world.add_node(ReplicaId::new(number));
+            simulator.add_node(ReplicaId::new(number));
         }
-        world
+        simulator
     }
 
     pub fn add_node(&mut self, id: ReplicaId) {
@@ -118,7 +119,7 @@
         Incarnation::new(self.next_incarnation)
     }
 
-    pub fn number(&mut self) -> u64 {
+    pub fn next_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
@@ -148,8 +149,8 @@
         node.process = Some(Process {
             replica,
             boot: self.next_boot,
-            count: 0,
-            applied: LogIndex::default(),
+            applied_count: 0,
+            applied_index: LogIndex::default(),
             frozen: false,
             backlog: VecDeque::new(),
             unsynced: VecDeque::new(),
@@ -162,12 +163,12 @@
         self.input(id, Input::Tick);
     }
 
-    /// Ends the process; a random part of the unsynced writes reaches the disk.
+    /// Stops the process; a random prefix of the unsynced writes reaches the disk.
     pub fn kill(&mut self, id: ReplicaId) {
         let node = self.nodes.get_mut(&id).unwrap();
         let Some(process) = node.process.take() else { return };
         for proposal in process.open_proposals {
-            self.history.leave_open(proposal);
+            self.history.mark_unknown(proposal);
         }
         for read in process.open_reads {
             self.history.fail_read(read);
@@ -180,12 +181,12 @@
             node.disk.write(operation);
         }
         if !all_lost && let Some(PersistOperation::Append(entries)) = operations.get(kept) {
-            let torn = self.random.random_range(0..=entries.len());
-            node.disk.append(&entries[..torn]);
+            let partial_count = self.random.random_range(0..=entries.len());
+            node.disk.append(&entries[..partial_count]);
         }
     }
 
-    /// Ends the process and empties its data folder.
+    /// Stops the process and replaces its data folder with an empty one.
     pub fn wipe(&mut self, id: ReplicaId) {
         self.kill(id);
         let incarnation = self.new_incarnation();
@@ -253,7 +254,7 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { to, boot, message } => {
-                // A connection ends with the process that it leads to.
+                // A restart of the receiver closes the connection, and the message is lost.
                 if self.process(to).is_some_and(|process| process.boot == boot) {
                     self.input(to, Input::Message(message));
                 }
@@ -309,7 +310,7 @@
             self.send(message);
         }
         for item in committed {
-            self.take(id, item);
+            self.apply(id, item);
         }
         for (number, result) in changes {
             self.check_promotion((id, boot, number), result.is_ok());
@@ -318,21 +319,22 @@
         self.check_leader(id);
     }
 
-    /// A promoted learner holds everything that was committed when the promotion was requested.
+    /// Checks that a promoted learner holds all entries committed when the promotion was requested.
     fn check_promotion(&mut self, key: (ReplicaId, u64, ChangeNumber), done: bool) {
         let Some((replica, needed)) = self.promotions.remove(&key) else { return };
         let member = self.process(key.0).unwrap().replica.membership().voter(replica).copied();
         let disk = &self.nodes[&replica].disk;
-        // A folder that was wiped after it was counted is a loss like any other.
+        // A folder that was wiped after the learner had caught up is an ordinary loss.
         let present = member.is_some_and(|member| member.incarnation == disk.incarnation);
         if done && present {
             let held = disk.last_index();
-            assert!(held >= needed, "promoted replica {replica} holds {held} of {needed}");
+            assert!(held >= needed, "promoted replica {replica} holds {held}, not {needed}");
         }
     }
 
-    /// A leader sends entries before they are synced, so they count from the request on. The
-    /// founder sends its first entry only after the sync, and may forget it before.
+    /// Checks log matching for the entries of a batch. A leader sends entries before they are
+    /// synced, so they are checked when the write is requested. The founder sends its first entry
+    /// only after the sync and may lose it before, so that entry is checked after the sync.
     fn check_entries(&mut self, id: ReplicaId, batch: &PersistBatch, synced: bool) {
         let Some(process) = self.process(id) else { return };
         let cluster = process.replica.view().hard_state.cluster;
@@ -349,7 +351,7 @@
         let delay = self.random.random_range(0..=self.max_sync_ms);
         let now = self.now;
         let Some(process) = self.process_mut(id) else { return };
-        // Whatever waits shares one sync, so delays do not add up.
+        // Waiting batches share one sync, so their delays do not add up.
         let done = process.sync_free_at.max(now + delay);
         process.sync_free_at = done;
         process.unsynced.push_back(batch.clone());
--- a/crates/yuccatack_replication/tests/stalled_connections.rs
+++ b/crates/yuccatack_replication/tests/stalled_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that stop responding for good while new ones work.
+//! Recovery from connections that stay open without responding, while new ones work.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod cluster;
@@ -14,23 +14,23 @@
 use tokio::time::Instant;
 use yuccatack_replication::{Committed, RoleName};
 
-/// Nodes stop new work without a fresh view for this long, so the log has to be back before.
-const TARGET: Duration = Duration::from_secs(3);
+/// Nodes accept no new work once their view is this old, so the log must recover earlier.
+const RECOVERY_TARGET: Duration = Duration::from_secs(3);
 
-/// Forwards connections to `target`; each ends its forwarding, but stays open, at the next change
-/// of `stalls`.
-async fn relay(listener: TcpListener, target: SocketAddr, stalls: watch::Receiver<u64>) {
+/// Forwards connections to `target`. At the next change of `stalls` each existing connection stops
+/// forwarding and stays open.
+async fn run_proxy(listener: TcpListener, target: SocketAddr, stalls: watch::Receiver<u64>) {
     loop {
-        let (mut inner, _) = listener.accept().await.unwrap();
+        let (mut client, _) = listener.accept().await.unwrap();
         let mut stalled = stalls.clone();
         stalled.mark_unchanged();
         tokio::spawn(async move {
-            let Ok(mut outer) = TcpStream::connect(target).await else {
-                let _ = inner.shutdown().await;
+            let Ok(mut server) = TcpStream::connect(target).await else {
+                let _ = client.shutdown().await;
                 return;
             };
             tokio::select! {
-                _ = tokio::io::copy_bidirectional(&mut inner, &mut outer) => return,
+                _ = tokio::io::copy_bidirectional(&mut client, &mut server) => return,
                 _ = stalled.changed() => {}
             }
             std::future::pending::<()>().await;
@@ -38,17 +38,17 @@
     }
 }
 
-/// Guards against a replica that waits for good on a connection that is open and dead.
+/// Guards against a replica that waits forever on an open connection that no longer responds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn log_recovers_over_new_connections() {
+async fn log_recovers_on_new_connections() {
     let (stall, stalls) = watch::channel(0);
     let mut cluster = Cluster::empty(10_000);
     let mut listeners = BTreeMap::new();
     for number in 1..=3 {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let front = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        cluster.addresses.insert(replica(number), front.local_addr().unwrap());
-        tokio::spawn(relay(front, listener.local_addr().unwrap(), stalls.clone()));
+        let proxy = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        cluster.addresses.insert(replica(number), proxy.local_addr().unwrap());
+        tokio::spawn(run_proxy(proxy, listener.local_addr().unwrap(), stalls.clone()));
         listeners.insert(replica(number), listener);
     }
     cluster.voters = cluster.addresses.clone();
@@ -77,10 +77,14 @@
             break;
         }
     }
-    // Replicas that had no connection yet can elect a leader over new ones; the entry reaches all
-    // of them only when the dead connections are replaced.
+    // Replicas without a connection to each other can elect a leader over new ones. The entry
+    // reaches all replicas only when the stalled connections are replaced.
     for node in cluster.nodes.values_mut() {
-        node.until_entry("after").await;
+        node.wait_for_entry("after").await;
     }
-    assert!(stalled_at.elapsed() < TARGET, "not everywhere for {:?}", stalled_at.elapsed());
+    assert!(
+        stalled_at.elapsed() < RECOVERY_TARGET,
+        "the entry reached all replicas only after {:?}",
+        stalled_at.elapsed()
+    );
 }
