--- a/crates/yuccatack_leases/src/attempt.rs
+++ b/crates/yuccatack_leases/src/attempt.rs
@@ -8,7 +8,7 @@
 use crate::message::{LeaseEvent, StopReason, TaskOutcome};
 use crate::table::LeaseTable;
 use crate::worker::TaskKey;
-use crate::{CHECKPOINT_LIMIT, MAX_FAILED_WORKERS, PREPARE_LIMIT};
+use crate::{CHECKPOINT_TIMEOUT, MAX_FAILED_WORKERS, PREPARE_TIMEOUT};
 
 /// A job that failed this often is refused even when too few workers are left to tell whether
 /// the workers or the job are at fault.
@@ -38,7 +38,7 @@
         }
         let epoch = attempt.epoch;
         attempt.phase = AttemptPhase::Checkpointing(reason.clone());
-        self.set_deadline(job, Some(at + CHECKPOINT_LIMIT));
+        self.set_deadline(job, Some(at + CHECKPOINT_TIMEOUT));
         vec![LeaseEvent::AttemptStopping(job.clone(), epoch, reason)]
     }
 
@@ -104,7 +104,7 @@
         let was_booked = slot.state == TaskState::Booked;
         let (worker, mask) = (slot.worker, std::mem::take(&mut slot.accelerator_mask));
         slot.state = TaskState::Ended(outcome);
-        self.cluster.return_accelerators(worker, mask);
+        self.cluster.release_accelerators(worker, mask);
         self.cluster.update(worker, |cell| {
             let held = if was_booked { &mut cell.booked } else { &mut cell.used };
             *held = minus(held, &task);
@@ -149,14 +149,14 @@
             return;
         }
         let JobPhase::Active(attempt) = &mut entry.phase else { return };
-        let mask = self.cluster.take_accelerators(worker, task.accelerator_count);
+        let mask = self.cluster.allocate_accelerators(worker, task.accelerator_count);
         let slot = &mut attempt.tasks[key.index as usize];
         slot.accelerator_mask = mask;
         slot.state = TaskState::Assigned;
         let complete = attempt.tasks.iter().all(|slot| slot.state != TaskState::Booked);
         if complete && attempt.phase == AttemptPhase::Reclaiming {
             attempt.phase = AttemptPhase::Preparing;
-            self.set_deadline(&key.job, Some(at + PREPARE_LIMIT));
+            self.set_deadline(&key.job, Some(at + PREPARE_TIMEOUT));
         }
         self.cluster.update(worker, |cell| {
             cell.booked = minus(&cell.booked, &task);
--- a/crates/yuccatack_leases/src/claim.rs
+++ b/crates/yuccatack_leases/src/claim.rs
@@ -1,17 +1,17 @@
 //! The choice of a guaranteed shape to claim.
 
 use yuccatack_core::prelude::*;
-use yuccatack_placement::{Assignment, Holding, WorkerIndex, place, slot_count};
+use yuccatack_placement::{AllocationKind, Assignment, WorkerIndex, place, slot_count};
 
 use crate::job::JobEntry;
 use crate::message::Claim;
-use crate::schedule::Pass;
+use crate::scheduling_pass::SchedulingPass;
 use crate::table::GuaranteeEntry;
 
 /// The longest wait for a borrower's checkpoint.
 const RECLAIM_DELAY_S: f64 = 3.0;
 
-impl<'a> Pass<'a> {
+impl<'a> SchedulingPass<'a> {
     /// Unclaimed shapes that the job may claim, the smallest guarantee first.
     fn claimable(&self, job: &JobEntry) -> Vec<(&'a GuaranteeEntry, u32)> {
         let Some(entries) = self.guarantees.get(&job.spec.organisation) else { return Vec::new() };
@@ -92,12 +92,12 @@
         let mut request = self.request(job, &[]);
         request.shape = entry.spec.shape;
         request.data_centres = &centres;
-        request.holding = Holding::Firm;
+        request.allocation_kind = AllocationKind::Firm;
         request.reservation = None;
         let found = place(&self.overlay, &request);
         self.search_count += 1;
         for (worker, amount) in &amounts {
-            self.overlay.rereserve(*worker, amount);
+            self.overlay.restore_reserved(*worker, amount);
         }
         let binding: Vec<(WorkerIndex, u32)> =
             found?.assignments.iter().map(|part| (part.worker, part.task_count)).collect();
--- a/crates/yuccatack_leases/src/schedule.rs
+++ b/crates/yuccatack_leases/src/scheduling_pass.rs
@@ -2,7 +2,7 @@
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{
-    Assignment, DemandProfile, Holding, Overlay, Placement, Request, Reservation, Weights,
+    AllocationKind, Assignment, DemandProfile, Overlay, Placement, Request, Reservation, Weights,
     WorkerIndex, best_fit, first_fit, place,
 };
 
@@ -10,8 +10,8 @@
 use crate::job::{AttemptPhase, JobEntry};
 use crate::message::{BeginAttempt, Claim, LeaseCommand, StopReason, WorkerTasks};
 use crate::reservation::{BACKFILL_QUANTILE, DEFRAGMENT_AFTER, STARVED_AFTER, StarvedJob};
+use crate::scheduler::Scheduler;
 use crate::table::{GuaranteeEntry, LeaseTable};
-use crate::volatile::Volatile;
 
 /// Decisions of one call. They are in force only after the log has them; a bound keeps the
 /// overlay small and lets urgent jobs that arrive meanwhile go first in the next call.
@@ -39,7 +39,7 @@
     BestFit,
 }
 
-impl Volatile {
+impl Scheduler {
     /// Chooses how waiting jobs are placed; the baselines are for comparison only.
     pub fn with_strategy(mut self, strategy: Strategy) -> Self {
         self.strategy = strategy;
@@ -47,12 +47,12 @@
     }
 
     /// What the leader decides at `now`. Call it again once the commands are applied, after each
-    /// change of the table, and at [`Volatile::next_deadline`].
+    /// change of the table, and at [`Scheduler::next_deadline`].
     pub fn schedule(&mut self, table: &LeaseTable, now: TimestampMs) -> Vec<LeaseCommand> {
         let mut commands = self.lose_silent(table, now);
         commands.extend(overdue(table, now));
         commands.extend(self.starts(table, now));
-        let mut pass = Pass::new(table, now, &self.demand);
+        let mut pass = SchedulingPass::new(table, now, &self.demand);
         pass.run(self);
         for command in &pass.commands {
             if let LeaseCommand::BeginAttempt(begin) = command
@@ -118,7 +118,7 @@
 }
 
 /// One round of placements over an overlay of its own decisions.
-pub(crate) struct Pass<'a> {
+pub(crate) struct SchedulingPass<'a> {
     pub(crate) table: &'a LeaseTable,
     pub(crate) now: TimestampMs,
     pub(crate) overlay: Overlay<'a>,
@@ -141,7 +141,7 @@
     next: usize,
 }
 
-impl<'a> Pass<'a> {
+impl<'a> SchedulingPass<'a> {
     fn new(table: &'a LeaseTable, now: TimestampMs, demand: &[(Shape, f64)]) -> Self {
         let mut guarantees: FastHashMap<_, Vec<&GuaranteeEntry>> = FastHashMap::default();
         for entry in table.guarantees.values() {
@@ -163,9 +163,9 @@
         }
     }
 
-    fn run(&mut self, volatile: &mut Volatile) {
+    fn run(&mut self, scheduler: &mut Scheduler) {
         self.probe_quarantined();
-        let find = match volatile.strategy {
+        let find = match scheduler.strategy {
             Strategy::Policy => None,
             Strategy::FirstFit => Some(first_fit as FindPlace),
             Strategy::BestFit => Some(best_fit as FindPlace),
@@ -175,15 +175,15 @@
             return;
         }
         if self.table.waiting.is_empty() {
-            volatile.starved = None;
+            scheduler.starved = None;
         } else {
             self.place_class(PriorityClass::Urgent);
-            self.place_starved(volatile);
+            self.place_starved(scheduler);
             self.place_class(PriorityClass::Standard);
             self.place_class(PriorityClass::Batch);
         }
-        if volatile.starved.is_none() && self.commands.is_empty() {
-            self.consolidate(volatile);
+        if scheduler.starved.is_none() && self.commands.is_empty() {
+            self.consolidate(scheduler);
         }
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// The oldest waiting job of each queue is its head, so only heads can be the oldest.
-    fn place_starved(&mut self, volatile: &mut Volatile) {
+    fn place_starved(&mut self, scheduler: &mut Scheduler) {
         let table = self.table;
         let classes = [PriorityClass::Standard, PriorityClass::Batch];
         let oldest = table
@@ -294,24 +294,24 @@
             .filter(|(_, job)| table.jobs.get(job).is_some_and(|job| self.within_quota(job)))
             .min();
         let Some((at, job)) = oldest else {
-            volatile.starved = None;
+            scheduler.starved = None;
             return;
         };
         if self.try_place(job) {
-            volatile.starved = None;
+            scheduler.starved = None;
             return;
         }
         let starved = self.now.since(*at) >= STARVED_AFTER;
-        if self.may_search_room(volatile) {
+        if self.may_search_room(scheduler) {
             // Both searches visit many tasks, so they run at most once in a pause.
             let held = StarvedJob::new(table, job, self.now);
-            if !self.make_room(volatile, job, starved, held.as_ref()) {
-                volatile.starved = held.filter(|_| starved);
+            if !self.make_room(scheduler, job, starved, held.as_ref()) {
+                scheduler.starved = held.filter(|_| starved);
             }
-        } else if volatile.starved.as_ref().is_some_and(|held| held.job != *job) {
-            volatile.starved = None;
+        } else if scheduler.starved.as_ref().is_some_and(|held| held.job != *job) {
+            scheduler.starved = None;
         }
-        self.reservation = volatile.starved.as_ref().map(|held| held.reservation.clone());
+        self.reservation = scheduler.starved.as_ref().map(|held| held.reservation.clone());
         // The failure above was found without the reservation; keys include its effect.
         self.failed.clear();
     }
@@ -356,14 +356,18 @@
         Request {
             shape: job.spec.shape,
             data_centres: &[],
-            holding: if reclaimable { Holding::Borrowed } else { Holding::Firm },
+            allocation_kind: if reclaimable {
+                AllocationKind::Borrowed
+            } else {
+                AllocationKind::Firm
+            },
             excluded,
             reservation: self
                 .reservation
                 .as_ref()
                 .filter(|_| job.spec.class != PriorityClass::Urgent),
             expected_end: self.now + self.table.expected_run_time(job, BACKFILL_QUANTILE),
-            yields: job.spec.checkpointable,
+            preemptible: job.spec.checkpointable,
             profile: &self.profile,
             weights: Weights {
                 completion: policy.completion_weight,
@@ -374,10 +378,10 @@
 
     fn place_unclaimed(&mut self, job: &JobEntry, excluded: &[WorkerIndex]) -> Option<Placement> {
         let request = self.request(job, excluded);
-        let barred = request
-            .reservation
-            .is_some_and(|reservation| reservation.bars(request.expected_end, request.yields));
-        let key = (request.shape, request.holding == Holding::Firm, barred);
+        let barred = request.reservation.is_some_and(|reservation| {
+            reservation.excludes(request.expected_end, request.preemptible)
+        });
+        let key = (request.shape, request.allocation_kind == AllocationKind::Firm, barred);
         if self.failed.contains(&key) {
             return None;
         }
@@ -411,7 +415,7 @@
         let firm = claim.is_none() && !job.spec.is_reclaimable();
         for part in &parts {
             if let Some(amount) = job.spec.shape.task.checked_mul(part.task_count) {
-                self.overlay.take(part.worker, &amount, firm);
+                self.overlay.allocate(part.worker, &amount, firm);
             }
         }
         if let Some(claim) = &claim
@@ -424,8 +428,8 @@
             for part in &claim.binding {
                 let worker = self.table.cluster.worker_index(&part.worker);
                 if let Some((worker, amount)) = worker.zip(task.checked_mul(part.task_count)) {
-                    self.overlay.take(worker, &amount, true);
-                    self.overlay.untake(worker, &amount, false);
+                    self.overlay.allocate(worker, &amount, true);
+                    self.overlay.release(worker, &amount, false);
                 }
             }
         }
