--- a/crates/yuccatack_replication/tests/elections.rs
+++ b/crates/yuccatack_replication/tests/elections.rs
@@ -107,7 +107,7 @@
         let (mut simulator, leader) = simulator_with_leader(seed);
         simulator.input(leader, Input::TransferLeadership);
         simulator.run_for(100);
-        let successor = simulator.leader().expect("a leader right after the hand-over");
+        let successor = simulator.leader().expect("a leader right after the transfer");
         assert_ne!(successor, leader);
     });
 }
--- a/crates/yuccatack_replication/tests/read_index.rs
+++ b/crates/yuccatack_replication/tests/read_index.rs
@@ -26,7 +26,7 @@
         let others: Vec<_> = simulator.nodes.keys().copied().filter(|id| *id != old).collect();
         simulator.blocked.extend(others.into_iter().map(|other| (other, old)));
         simulator.run_for(60);
-        let new = simulator.leader_except(old).expect("a leader after the hand-over");
+        let new = simulator.leader_except(old).expect("a leader after the transfer");
         let acknowledged = simulator.history.acknowledged_count;
         simulator.propose(new);
         simulator.run_for(60);
