--- a/crates/yuccatack_leases/src/apply.rs
+++ b/crates/yuccatack_leases/src/apply.rs
@@ -1,4 +1,4 @@
-//! Applies logged commands.
+//! Application of logged commands to the lease table.
 
 use yuccatack_core::prelude::*;
 
@@ -7,14 +7,14 @@
 use crate::spec::JobSpec;
 use crate::table::LeaseTable;
 
-/// Finished jobs are remembered this long, so that callers can ask for the result.
+/// Time for which finished jobs are retained, so that callers can query the result.
 const JOB_RETENTION: DurationMs = DurationMs::from_seconds(24 * 3600);
-/// At the design load of 8,600 jobs a day this keeps more than five days; the bound protects
-/// memory against bursts.
+/// Most finished jobs retained, to bound memory during bursts. At the design load of 8,600 jobs a
+/// day it covers more than five days.
 const MAX_FINISHED_JOBS: usize = 50_000;
 
 impl LeaseTable {
-    /// Applies one command. Commands that are out of date change nothing.
+    /// Applies one command and returns its events. Outdated commands have no effect.
     pub fn apply(&mut self, command: LeaseCommand) -> Vec<LeaseEvent> {
         let events = self.dispatch(command);
         self.applied_count += 1;
@@ -61,7 +61,7 @@
                 if !self.is_current(&job, epoch) {
                     return Vec::new();
                 }
-                self.vacate_attempt(&job, StopReason::Moved, at)
+                self.evict_attempt(&job, StopReason::Moved, at)
             }
             LeaseCommand::StopAttempt { job, epoch, reason, at } => {
                 self.stop_current(&job, epoch, reason, at)
@@ -81,7 +81,7 @@
     }
 
     fn submit_job(&mut self, job: JobSpec, at: TimestampMs) -> Vec<LeaseEvent> {
-        self.forget_finished_jobs(at);
+        self.remove_expired_jobs(at);
         let name = job.name.clone();
         if let Err(refusal) = self.check_job(&job) {
             return vec![LeaseEvent::JobRefused(name, refusal)];
@@ -95,10 +95,10 @@
         vec![LeaseEvent::JobAccepted(name)]
     }
 
-    fn forget_finished_jobs(&mut self, now: TimestampMs) {
+    fn remove_expired_jobs(&mut self, now: TimestampMs) {
         while let Some((finished_at, _)) = self.finished.first() {
-            let old = now.since(*finished_at) > JOB_RETENTION;
-            if !old && self.finished.len() <= MAX_FINISHED_JOBS {
+            let expired = now.since(*finished_at) > JOB_RETENTION;
+            if !expired && self.finished.len() <= MAX_FINISHED_JOBS {
                 break;
             }
             if let Some((_, job)) = self.finished.pop_first() {
@@ -121,8 +121,8 @@
             }
             JobPhase::Active(_) => {
                 let mut events = self.stop_attempt(job, StopReason::Cancelled, at);
-                // An attempt that already stops for another reason would put the job back into
-                // the queue; the cancellation takes the place of that reason.
+                // An attempt that is already stopping for another reason would put the job back
+                // into the queue, so the cancellation replaces that reason.
                 if let Some(entry) = self.jobs.get_mut(job)
                     && let JobPhase::Active(attempt) = &mut entry.phase
                 {
@@ -173,7 +173,7 @@
         let Some(entry) = self.jobs.get_mut(job) else { return Vec::new() };
         assert!(
             entry.spec.idempotent || !entry.unsaved,
-            "job {job} would run twice; report this fault"
+            "job {job} is not idempotent and would run twice; report this fault"
         );
         let JobPhase::Active(attempt) = &mut entry.phase else { return Vec::new() };
         attempt.phase = AttemptPhase::Running;
@@ -196,7 +196,7 @@
         }
         let Some(entry) = self.jobs.get_mut(job) else { return Vec::new() };
         let Some(attempt) = entry.attempt() else { return Vec::new() };
-        // The overdue reasons are decisions about a phase; the phase may have passed since.
+        // A time-out is decided for a phase that may have passed since.
         let phase_passed = match &reason {
             StopReason::PrepareOverdue => attempt.phase != AttemptPhase::Preparing,
             StopReason::CheckpointOverdue => {
@@ -211,7 +211,7 @@
             if attempt.started_at.is_some() {
                 return Vec::new();
             }
-            entry.ran_unasked = true;
+            entry.ran_before_start = true;
             entry.unsaved = true;
         }
         self.stop_attempt(job, reason, at)
@@ -227,19 +227,19 @@
         let Some(entry) = self.jobs.get_mut(job) else { return Vec::new() };
         let JobPhase::Active(attempt) = &mut entry.phase else { return Vec::new() };
         let Some(slot) = attempt.tasks.get(index as usize) else { return Vec::new() };
-        // A booked task was never sent to its worker, so only the loss of the worker ends it.
-        let foreign = slot.state == TaskState::Booked && outcome != TaskOutcome::Lost;
-        if slot.state.is_ended() || foreign {
+        // A booked task was never sent to its worker, so only the loss of the worker can end it.
+        let not_dispatched = slot.state == TaskState::Booked && outcome != TaskOutcome::Lost;
+        if slot.state.is_ended() || not_dispatched {
             return Vec::new();
         }
         let worker = slot.worker;
         let started = attempt.started_at.is_some();
         let stopping = matches!(attempt.phase, AttemptPhase::Stopping(_));
         let checkpointing = matches!(attempt.phase, AttemptPhase::Checkpointing(_));
-        // A success before the start is a false report: the work cannot have been done whole.
+        // A success before the start is a false report: the gang cannot have completed its work.
         let outcome = match outcome {
             TaskOutcome::Succeeded if !started => {
-                entry.ran_unasked = true;
+                entry.ran_before_start = true;
                 entry.unsaved = true;
                 TaskOutcome::Failed
             }
@@ -250,9 +250,9 @@
         let Some(name) = self.worker_name(worker) else { return Vec::new() };
         let mut events = Vec::new();
         match outcome {
-            TaskOutcome::Succeeded => events.extend(self.credit_worker(&name)),
+            TaskOutcome::Succeeded => events.extend(self.record_worker_success(&name)),
             TaskOutcome::Failed if !stopping => {
-                events.extend(self.blame_worker(&name, job, at));
+                events.extend(self.record_worker_failure(&name, job, at));
                 events.extend(self.stop_attempt(job, StopReason::TaskFailed(name), at));
             }
             TaskOutcome::Stopped | TaskOutcome::Lost if !stopping => {
--- a/crates/yuccatack_leases/src/attempt.rs
+++ b/crates/yuccatack_leases/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt after its begin: stops, release of single tasks, and the end.
+//! Lifecycle of an attempt after its start: eviction, stop, release of tasks, and completion.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::WorkerIndex;
@@ -10,21 +10,21 @@
 use crate::worker::TaskKey;
 use crate::{CHECKPOINT_TIMEOUT, MAX_FAILED_WORKERS, PREPARE_TIMEOUT};
 
-/// A job that failed this often is refused even when too few workers are left to tell whether
-/// the workers or the job are at fault.
+/// Number of failures after which a job is refused even when too few workers are left to tell
+/// whether the workers or the job are at fault.
 const MAX_FAILURE_COUNT: u32 = 6;
 
-fn plus(left: &Resources, right: &Resources) -> Resources {
+fn add(left: &Resources, right: &Resources) -> Resources {
     left.checked_add(right).unwrap_or(*left)
 }
 
-fn minus(left: &Resources, right: &Resources) -> Resources {
+fn subtract(left: &Resources, right: &Resources) -> Resources {
     left.checked_sub(right).unwrap_or_default()
 }
 
 impl LeaseTable {
-    /// Takes an attempt off its workers by checkpoint where possible, else by stopping it.
-    pub(crate) fn vacate_attempt(
+    /// Evicts an attempt from its workers, by checkpoint where possible, otherwise by stopping it.
+    pub(crate) fn evict_attempt(
         &mut self,
         job: &JobName,
         reason: StopReason,
@@ -56,7 +56,7 @@
         let epoch = attempt.epoch;
         attempt.phase = AttemptPhase::Stopping(reason.clone());
         let booked = |(_, slot): &(usize, &TaskSlot)| slot.state == TaskState::Booked;
-        let waiting: Vec<u32> = attempt
+        let booked_indexes: Vec<u32> = attempt
             .tasks
             .iter()
             .enumerate()
@@ -65,7 +65,7 @@
             .collect();
         self.ready.remove(job);
         self.set_deadline(job, None);
-        for index in waiting {
+        for index in booked_indexes {
             self.release_task(job, index, TaskOutcome::Stopped, at);
         }
         let mut events = vec![LeaseEvent::AttemptStopping(job.clone(), epoch, reason)];
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Ends a task and returns its capacity.
+    /// Marks a task as ended and releases its capacity.
     pub(crate) fn release_task(
         &mut self,
         job: &JobName,
@@ -107,9 +107,9 @@
         self.cluster.return_accelerators(worker, mask);
         self.cluster.update(worker, |cell| {
             let held = if was_booked { &mut cell.booked } else { &mut cell.used };
-            *held = minus(held, &task);
+            *held = subtract(held, &task);
             if firm {
-                cell.firm = minus(&cell.firm, &task);
+                cell.firm = subtract(&cell.firm, &task);
             }
         });
         if let Some(organisation) = self.organisations.get_mut(&organisation) {
@@ -122,7 +122,7 @@
         self.promote_booked(worker, at);
     }
 
-    /// Gives freed capacity to tasks that wait for it on this worker.
+    /// Assigns freed capacity to the tasks that are booked on this worker.
     pub(crate) fn promote_booked(&mut self, worker: WorkerIndex, at: TimestampMs) {
         let Some(cell) = self.cluster.worker(worker) else { return };
         if cell.booked == Resources::default() {
@@ -159,12 +159,12 @@
             self.set_deadline(&key.job, Some(at + PREPARE_TIMEOUT));
         }
         self.cluster.update(worker, |cell| {
-            cell.booked = minus(&cell.booked, &task);
-            cell.used = plus(&cell.used, &task);
+            cell.booked = subtract(&cell.booked, &task);
+            cell.used = add(&cell.used, &task);
         });
     }
 
-    /// Decides what follows once every task has ended; does nothing before that.
+    /// Moves the job to its next phase once every task of the attempt has ended.
     pub(crate) fn finish_attempt(&mut self, job: &JobName, at: TimestampMs) -> Vec<LeaseEvent> {
         let Some(entry) = self.jobs.get(job) else { return Vec::new() };
         let Some(attempt) = entry.attempt() else { return Vec::new() };
@@ -195,56 +195,56 @@
             self.finished.insert((at, job.clone()));
             events.push(LeaseEvent::JobFinished(job.clone()));
         }
-        events.extend(self.restore_bindings());
+        events.extend(self.rebind_unbacked());
         events
     }
 
     fn next_phase(&mut self, job: &JobName, at: TimestampMs) -> JobPhase {
         let Some(entry) = self.jobs.get_mut(job) else { return JobPhase::Waiting };
         let JobPhase::Active(attempt) = &entry.phase else { return JobPhase::Waiting };
-        let all = |allowed: &[TaskOutcome]| {
+        let all_ended_with = |allowed: &[TaskOutcome]| {
             attempt.tasks.iter().all(|slot| match slot.state {
                 TaskState::Ended(outcome) => allowed.contains(&outcome),
                 _ => false,
             })
         };
-        let ran = attempt.started_at.map_or(DurationMs::ZERO, |start| at.since(start));
+        let run_time = attempt.started_at.map_or(DurationMs::ZERO, |start| at.since(start));
         let started = attempt.started_at.is_some();
-        if started && all(&[TaskOutcome::Succeeded]) {
-            let total = DurationMs::new(ran.get() + entry.saved_run_time_ms);
+        if started && all_ended_with(&[TaskOutcome::Succeeded]) {
+            let total = DurationMs::new(run_time.get() + entry.saved_run_time_ms);
             let declared = DurationMs::from_seconds(entry.spec.declared_run_time_s);
             let organisation = self.organisations.entry(entry.spec.organisation.clone());
             organisation.or_default().estimate.record(declared, total);
             return JobPhase::Succeeded;
         }
-        let saved = started && all(&[TaskOutcome::Checkpointed, TaskOutcome::Succeeded]);
+        let saved = started && all_ended_with(&[TaskOutcome::Checkpointed, TaskOutcome::Succeeded]);
         let reason = match &attempt.phase {
             AttemptPhase::Stopping(reason) | AttemptPhase::Checkpointing(reason) => reason.clone(),
             _ => return JobPhase::Waiting,
         };
         if saved {
             entry.checkpoint = Some(attempt.epoch);
-            entry.saved_run_time_ms += ran.get();
+            entry.saved_run_time_ms += run_time.get();
             entry.unsaved = false;
         }
         if reason == StopReason::Cancelled {
             return JobPhase::Cancelled;
         }
-        let may_start_again = entry.may_start_again();
+        let may_restart = entry.may_restart();
         if let StopReason::TaskFailed(_) = reason {
             let worker_count = self.healthy_failure_count(job);
-            let hopeless = worker_count >= MAX_FAILED_WORKERS
+            let retries_exhausted = worker_count >= MAX_FAILED_WORKERS
                 || self.jobs.get(job).is_some_and(|job| job.failure_count >= MAX_FAILURE_COUNT);
-            if hopeless {
+            if retries_exhausted {
                 let job = job.clone();
                 return JobPhase::Refused(JobRefusal::FailedRepeatedly { job, worker_count });
             }
-            return if may_start_again { JobPhase::Waiting } else { JobPhase::Failed(reason) };
+            return if may_restart { JobPhase::Waiting } else { JobPhase::Failed(reason) };
         }
-        if may_start_again { JobPhase::Waiting } else { JobPhase::Unknown(reason) }
+        if may_restart { JobPhase::Waiting } else { JobPhase::Unknown(reason) }
     }
 
-    /// The different workers on which the job failed and that were not quarantined since.
+    /// Returns the number of workers on which the job failed and that were not quarantined since.
     pub(crate) fn healthy_failure_count(&self, job: &JobName) -> usize {
         let Some(entry) = self.jobs.get(job) else { return 0 };
         let healthy = |(name, quarantine_count): &&(WorkerName, u32)| {
--- a/crates/yuccatack_leases/src/begin.rs
+++ b/crates/yuccatack_leases/src/begin.rs
@@ -1,4 +1,4 @@
-//! The begin of an attempt.
+//! Validation and start of an attempt.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{Assignment, WorkerIndex};
@@ -8,7 +8,7 @@
 use crate::table::{GuaranteeEntry, LeaseTable, ShapeInstance};
 use crate::worker::{TaskKey, WorkerHealth};
 
-fn plus(left: &Resources, right: &Resources) -> Resources {
+fn add(left: &Resources, right: &Resources) -> Resources {
     left.checked_add(right).unwrap_or(*left)
 }
 
@@ -62,9 +62,9 @@
         for part in &parts {
             let Some(amount) = task.checked_mul(part.task_count) else { continue };
             self.cluster.update(part.worker, |cell| {
-                cell.booked = plus(&cell.booked, &amount);
+                cell.booked = add(&cell.booked, &amount);
                 if firm {
-                    cell.firm = plus(&cell.firm, &amount);
+                    cell.firm = add(&cell.firm, &amount);
                 }
             });
             if let Some(worker) = self.worker_at_mut(part.worker) {
@@ -97,11 +97,11 @@
     fn may_begin(&self, begin: &BeginAttempt, parts: &[Assignment]) -> bool {
         let Some(job) = self.jobs.get(&begin.job) else { return false };
         let shape = &job.spec.shape;
-        let in_turn = job.phase == JobPhase::Waiting
+        let startable = job.phase == JobPhase::Waiting
             && begin.epoch == job.last_epoch.next()
-            && job.may_start_again();
-        let whole = parts.iter().map(|part| part.task_count).sum::<u32>() == shape.task_count;
-        if !in_turn || !whole || !self.is_adjacent(shape.adjacency, parts) {
+            && job.may_restart();
+        let complete = parts.iter().map(|part| part.task_count).sum::<u32>() == shape.task_count;
+        if !startable || !complete || !self.is_adjacent(shape.adjacency, parts) {
             return false;
         }
         let held = self
@@ -117,15 +117,16 @@
             None => parts.iter().all(|part| {
                 let Some(cell) = self.cluster.worker(part.worker) else { return false };
                 let Some(amount) = shape.task.checked_mul(part.task_count) else { return false };
-                let open = cell.schedulable || self.is_probe(begin, part);
-                let unguarded = job.spec.is_reclaimable() || cell.firm_headroom().contains(&amount);
-                open && unguarded && cell.free().contains(&amount)
+                let accepts_work = cell.schedulable || self.is_probe(begin, part);
+                let within_firm_headroom =
+                    job.spec.is_reclaimable() || cell.firm_headroom().contains(&amount);
+                accepts_work && within_firm_headroom && cell.free().contains(&amount)
             }),
         }
     }
 
-    /// Whether the attempt probes a quarantined worker: all tasks there, of a job that may be
-    /// repeated.
+    /// Returns `true` if the attempt is a due probe of a quarantined worker: the worker is idle and
+    /// gets all tasks of an idempotent job.
     fn is_probe(&self, begin: &BeginAttempt, part: &Assignment) -> bool {
         let Some(worker) = self.worker_at(part.worker) else { return false };
         let Some(job) = self.jobs.get(&begin.job) else { return false };
@@ -133,8 +134,8 @@
             WorkerHealth::Quarantined { probe_at } => probe_at <= begin.at,
             WorkerHealth::Healthy | WorkerHealth::Lost { .. } => false,
         };
-        let whole = job.spec.shape.task_count == part.task_count;
-        due && worker.tasks.is_empty() && whole && job.spec.idempotent
+        let complete = job.spec.shape.task_count == part.task_count;
+        due && worker.tasks.is_empty() && complete && job.spec.idempotent
     }
 
     fn may_claim(&self, begin: &BeginAttempt, claim: &Claim, parts: &[Assignment]) -> bool {
@@ -154,8 +155,8 @@
             binding.iter().map(|part| (part.worker, part.task_count)).collect()
         };
         parts.iter().all(|part| {
-            let here = bound.iter().find(|(worker, _)| *worker == part.worker);
-            here.is_some_and(|(_, task_count)| *task_count >= part.task_count)
+            let bound_part = bound.iter().find(|(worker, _)| *worker == part.worker);
+            bound_part.is_some_and(|(_, task_count)| *task_count >= part.task_count)
         })
     }
 
@@ -167,20 +168,21 @@
     ) -> bool {
         let shape = &entry.spec.shape;
         let allowed = self.guaranteed_shape(&entry.spec).data_centres;
-        let whole = binding.iter().map(|part| part.task_count).sum::<u32>() == shape.task_count;
-        whole
+        let complete = binding.iter().map(|part| part.task_count).sum::<u32>() == shape.task_count;
+        complete
             && self.is_adjacent(shape.adjacency, binding)
             && binding.iter().all(|part| {
                 let Some(cell) = self.cluster.worker(part.worker) else { return false };
-                let old = instance.binding.iter().find(|(worker, _)| *worker == part.worker);
-                let old = old.and_then(|(_, task_count)| shape.task.checked_mul(*task_count));
-                let headroom = plus(&cell.firm_headroom(), &old.unwrap_or_default());
-                let inside = allowed.is_empty() || allowed.contains(&cell.data_centre);
+                let current = instance.binding.iter().find(|(worker, _)| *worker == part.worker);
+                let current =
+                    current.and_then(|(_, task_count)| shape.task.checked_mul(*task_count));
+                let headroom = add(&cell.firm_headroom(), &current.unwrap_or_default());
+                let allowed_here = allowed.is_empty() || allowed.contains(&cell.data_centre);
                 let fits = shape
                     .task
                     .checked_mul(part.task_count)
                     .is_some_and(|amount| headroom.contains(&amount));
-                cell.schedulable && inside && fits
+                cell.schedulable && allowed_here && fits
             })
     }
 
@@ -197,17 +199,19 @@
         parts.iter().all(|part| domain(part) == Some(first))
     }
 
-    /// Tells borrowers to give up what the bookings on these workers need.
+    /// Preempts the borrowers whose capacity the bookings on these workers need.
     fn reclaim_for(&mut self, parts: &[Assignment], at: TimestampMs) -> Vec<LeaseEvent> {
         let mut victims: Vec<JobName> = Vec::new();
         for part in parts {
-            let Some(more) = self.victims_on(part.worker, &victims) else {
+            let Some(additional) = self.preemption_victims(part.worker, &victims) else {
                 let name = self.worker_name(part.worker);
-                panic!("borrowers on {name:?} cannot free a guaranteed shape; report this fault");
+                panic!(
+                    "borrowers on worker {name:?} cannot free a guaranteed shape; report this fault"
+                );
             };
-            victims.extend(more);
+            victims.extend(additional);
         }
-        let reclaim = |job| self.vacate_attempt(&job, StopReason::Reclaimed, at);
+        let reclaim = |job| self.evict_attempt(&job, StopReason::Reclaimed, at);
         victims.into_iter().flat_map(reclaim).collect()
     }
 }
--- a/crates/yuccatack_leases/src/binding.rs
+++ b/crates/yuccatack_leases/src/binding.rs
@@ -1,4 +1,4 @@
-//! Where guaranteed shapes are bound. A binding sets capacity aside; borrowers may use it until
+//! Binding of guaranteed shapes to workers. A binding reserves capacity; borrowers may use it until
 //! the shape is claimed, and a claiming job runs inside the binding.
 
 use yuccatack_core::prelude::*;
@@ -12,25 +12,25 @@
 
 type InstanceKey = (RecordName, u32);
 
-/// New bindings that fit together.
+/// Bindings that fit together, planned for a new or changed guarantee.
 pub(crate) struct BindingPlan {
     kept_count: usize,
     added: Vec<Vec<Assignment>>,
     moved: Vec<(InstanceKey, Vec<Assignment>)>,
 }
 
-fn add(slot: &mut Resources, amount: &Resources) {
-    if let Some(sum) = slot.checked_add(amount) {
-        *slot = sum;
+fn add(total: &mut Resources, amount: &Resources) {
+    if let Some(sum) = total.checked_add(amount) {
+        *total = sum;
     }
 }
 
-fn subtract(slot: &mut Resources, amount: &Resources) {
-    *slot = slot.checked_sub(amount).unwrap_or_default();
+fn subtract(total: &mut Resources, amount: &Resources) {
+    *total = total.checked_sub(amount).unwrap_or_default();
 }
 
 impl LeaseTable {
-    /// What is left on each healthy worker for further guarantees.
+    /// Returns the capacity of each healthy worker that is left for further guarantees.
     fn headroom(&self) -> Vec<Resources> {
         let mut headroom = self.offered_capacity();
         for (index, cell) in self.cluster.workers().filter(|(_, cell)| cell.schedulable) {
@@ -39,7 +39,8 @@
         headroom
     }
 
-    /// Instances that stay where they are when `guarantee` replaces the one of the same name.
+    /// Returns the number of instances that keep their bindings when `guarantee` replaces the
+    /// accepted one of the same name.
     fn kept_count(&self, guarantee: &GuaranteeSpec) -> usize {
         let unchanged = |entry: &&GuaranteeEntry| {
             entry.spec.shape == guarantee.shape
@@ -50,20 +51,21 @@
         known.map_or(0, |entry| entry.instances.len().min(guarantee.shape_count as usize))
     }
 
-    /// Bindings for `guarantee`, or nothing when jobs that cannot be reclaimed are in the way.
+    /// Plans bindings for `guarantee`. `None` when jobs that cannot be reclaimed block them.
     pub(crate) fn plan_bindings_with(&self, guarantee: &GuaranteeSpec) -> Option<BindingPlan> {
         let kept_count = self.kept_count(guarantee);
         let mut headroom = self.headroom();
         if let Some(entry) = self.guarantees.get(&guarantee.name) {
             for instance in entry.instances.iter().skip(kept_count) {
-                self.give_back(&mut headroom, entry, instance);
+                self.release_reserved(&mut headroom, entry, instance);
             }
         }
-        let wanted = self.guaranteed_shape(guarantee);
+        let requested = self.guaranteed_shape(guarantee);
         let added_count = guarantee.shape_count as usize - kept_count;
         let mut incremental = headroom.clone();
-        let added: Option<Vec<_>> =
-            (0..added_count).map(|_| pack_one(&self.cluster, &mut incremental, &wanted)).collect();
+        let added: Option<Vec<_>> = (0..added_count)
+            .map(|_| pack_one(&self.cluster, &mut incremental, &requested))
+            .collect();
         if let Some(added) = added {
             return Some(BindingPlan { kept_count, added, moved: Vec::new() });
         }
@@ -73,20 +75,21 @@
             let limit = if *name == guarantee.name { kept_count } else { entry.instances.len() };
             for (number, instance) in entry.instances.iter().enumerate().take(limit) {
                 if instance.claimed_by.is_none() {
-                    self.give_back(&mut headroom, entry, instance);
+                    self.release_reserved(&mut headroom, entry, instance);
                     keys.push((name.clone(), number as u32));
                     shapes.push(self.guaranteed_shape(&entry.spec));
                 }
             }
         }
-        shapes.extend(std::iter::repeat_n(wanted, added_count));
+        shapes.extend(std::iter::repeat_n(requested, added_count));
         let mut bindings = pack(&self.cluster, &mut headroom, &shapes).ok()?;
         let added = bindings.split_off(keys.len());
         Some(BindingPlan { kept_count, added, moved: keys.into_iter().zip(bindings).collect() })
     }
 
-    /// Adds what `instance` sets aside to `headroom`, less what a claiming job keeps firmly.
-    fn give_back(
+    /// Adds the capacity reserved for `instance` to `headroom`, less the part that a claiming job
+    /// would hold firmly.
+    fn release_reserved(
         &self,
         headroom: &mut [Resources],
         entry: &GuaranteeEntry,
@@ -149,10 +152,10 @@
         }
         self.guarantees.remove(name);
         self.unbacked.retain(|(guarantee, _)| guarantee != name);
-        self.restore_bindings()
+        self.rebind_unbacked()
     }
 
-    /// Sets capacity aside for an instance.
+    /// Reserves capacity for an instance.
     pub(crate) fn bind(&mut self, key: &InstanceKey, binding: &[Assignment]) {
         let Some(entry) = self.guarantees.get_mut(&key.0) else { return };
         let task = entry.spec.shape.task;
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Gives up what is set aside for an instance. A job that claims it becomes a borrower, or
+    /// Releases the capacity reserved for an instance. A job that claims it becomes a borrower, or
     /// holds its capacity firmly when it cannot be reclaimed.
     pub(crate) fn unbind(&mut self, key: &InstanceKey) {
         let Some(entry) = self.guarantees.get_mut(&key.0) else { return };
@@ -179,11 +182,11 @@
             self.cluster.update(worker, |cell| subtract(&mut cell.reserved, &amount));
         }
         if let Some(job) = claimed_by {
-            self.drop_claim(&job);
+            self.release_claim(&job);
         }
     }
 
-    fn drop_claim(&mut self, job: &JobName) {
+    fn release_claim(&mut self, job: &JobName) {
         let Some(entry) = self.jobs.get_mut(job) else { return };
         let JobPhase::Active(attempt) = &mut entry.phase else { return };
         attempt.claim = None;
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Moves bindings off a worker that no longer counts as capacity.
+    /// Removes every binding that uses a worker, because the worker no longer counts as capacity.
     pub(crate) fn unbind_worker(&mut self, worker: WorkerIndex) {
         let mut keys = Vec::new();
         for (name, entry) in &self.guarantees {
@@ -213,37 +216,38 @@
         }
     }
 
-    /// Finds places for instances that lost theirs, moving unclaimed ones where that helps.
-    pub(crate) fn restore_bindings(&mut self) -> Vec<LeaseEvent> {
+    /// Binds the instances without a binding again, moving unclaimed instances where that helps.
+    /// Reports the guarantees that remain unbacked.
+    pub(crate) fn rebind_unbacked(&mut self) -> Vec<LeaseEvent> {
         if self.unbacked.is_empty() {
             return Vec::new();
         }
-        let unbound: Vec<InstanceKey> = self.unbacked.iter().cloned().collect();
+        let unbacked: Vec<InstanceKey> = self.unbacked.iter().cloned().collect();
         let mut headroom = self.headroom();
         let mut missing = Vec::new();
-        for key in unbound {
+        for key in unbacked {
             let Some(entry) = self.guarantees.get(&key.0) else { continue };
-            let wanted = self.guaranteed_shape(&entry.spec);
-            match pack_one(&self.cluster, &mut headroom, &wanted) {
+            let shape = self.guaranteed_shape(&entry.spec);
+            match pack_one(&self.cluster, &mut headroom, &shape) {
                 Some(binding) => self.bind(&key, &binding),
                 None => missing.push(key),
             }
         }
         if !missing.is_empty() {
-            self.rebind_all(&mut missing);
+            self.repack_unclaimed(&mut missing);
         }
         missing.into_iter().map(|(name, _)| LeaseEvent::GuaranteeUnbacked(name)).collect()
     }
 
-    /// Packs every unclaimed instance again; clears `missing` when all find a place.
-    fn rebind_all(&mut self, missing: &mut Vec<InstanceKey>) {
+    /// Packs every unclaimed instance again; clears `missing` when all of them fit.
+    fn repack_unclaimed(&mut self, missing: &mut Vec<InstanceKey>) {
         let mut headroom = self.headroom();
         let mut keys = Vec::new();
         let mut shapes = Vec::new();
         for (name, entry) in &self.guarantees {
             for (number, instance) in entry.instances.iter().enumerate() {
                 if instance.claimed_by.is_none() {
-                    self.give_back(&mut headroom, entry, instance);
+                    self.release_reserved(&mut headroom, entry, instance);
                     keys.push((name.clone(), number as u32));
                     shapes.push(self.guaranteed_shape(&entry.spec));
                 }
--- a/crates/yuccatack_leases/src/check.rs
+++ b/crates/yuccatack_leases/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of jobs and guarantees that change nothing.
+//! Admission checks of jobs and guarantees; they do not change the table.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -8,100 +8,100 @@
 use crate::spec::{GuaranteeSpec, JobSpec};
 use crate::table::LeaseTable;
 
-/// Why a job is not accepted.
+/// Reason for which a job is refused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Snafu)]
 pub enum JobRefusal {
-    /// The gang is empty.
+    /// The gang has no tasks.
     #[snafu(display("job `{job}` has no tasks; set the number of tasks to 1 or more"))]
     NoTasks {
-        /// The job.
+        /// Name of the job.
         job: JobName,
     },
-    /// The name is taken.
+    /// A stored job has the same name and another specification.
     #[snafu(display("a job named `{job}` exists with other content; submit under a new name"))]
     NameTaken {
-        /// The job.
+        /// Name of the job.
         job: JobName,
     },
-    /// The quota can never allow it.
+    /// The job needs more accelerators than the quota of its organisation.
     #[snafu(display(
         "job `{job}` needs {needed_count} accelerators, more than the quota of {quota_count}; \
          make the job smaller or ask for a larger quota"
     ))]
     ExceedsQuota {
-        /// The job.
+        /// Name of the job.
         job: JobName,
-        /// What it needs.
+        /// Accelerators of the whole gang.
         needed_count: u64,
-        /// What the organisation may hold.
+        /// Accelerators that the organisation may hold.
         quota_count: u32,
     },
-    /// No domain of the platform is large enough.
+    /// No domain is large enough for the gang, even when it is empty.
     #[snafu(display(
         "job `{job}` can never run: the largest {adjacency:?} domain holds {possible_count} of its \
          {task_count} tasks; use fewer or smaller tasks or a wider adjacency"
     ))]
     NeverFits {
-        /// The job.
+        /// Name of the job.
         job: JobName,
-        /// The tasks it has.
+        /// Number of tasks in the gang.
         task_count: u32,
-        /// The tasks that the best domain holds when it is empty.
+        /// Most tasks of the gang that fit into one empty domain.
         possible_count: u32,
-        /// How close together the tasks must run.
+        /// Adjacency that the gang requires.
         adjacency: Adjacency,
     },
-    /// It failed wherever it ran.
+    /// The job failed on too many different healthy workers, or too often.
     #[snafu(display(
         "job `{job}` failed on {worker_count} different healthy workers; correct the job and \
          submit it under a new name"
     ))]
     FailedRepeatedly {
-        /// The job.
+        /// Name of the job.
         job: JobName,
-        /// The workers it failed on.
+        /// Number of different healthy workers on which the job failed.
         worker_count: usize,
     },
 }
 
-/// Why a guarantee is not accepted.
+/// Reason for which a guarantee is refused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Snafu)]
 pub enum GuaranteeRefusal {
-    /// The shape or count is empty.
+    /// The number of tasks or of shapes is 0.
     #[snafu(display("guarantee `{guarantee}` is empty; set tasks and count to 1 or more"))]
     Empty {
-        /// The guarantee.
+        /// Name of the guarantee.
         guarantee: RecordName,
     },
-    /// A data centre is not known.
+    /// The guarantee refers to a data centre without workers.
     #[snafu(display(
         "guarantee `{guarantee}` names data centre `{data_centre}`, which has no workers; correct \
          the name or wait for its workers"
     ))]
     UnknownDataCentre {
-        /// The guarantee.
+        /// Name of the guarantee.
         guarantee: RecordName,
-        /// The unknown data centre.
+        /// Name that matches no data centre of a registered worker.
         data_centre: DataCentreName,
     },
-    /// The accepted guarantees and this one do not fit together.
+    /// The guarantee does not fit together with the accepted ones.
     #[snafu(display(
         "guarantee `{guarantee}` does not fit beside the accepted ones; {}",
         remedy(nearest)
     ))]
     DoesNotFit {
-        /// The guarantee.
+        /// Name of the guarantee.
         guarantee: RecordName,
-        /// The nearest smaller shape and count that fit.
+        /// Nearest smaller shape and count that fit; absent when nothing smaller fits.
         nearest: Option<(Shape, u32)>,
     },
-    /// Running jobs that cannot be reclaimed are in the way.
+    /// Running jobs that cannot be reclaimed hold the capacity.
     #[snafu(display(
         "guarantee `{guarantee}` fits, but jobs that can be neither checkpointed nor run again \
          hold its place; submit it again when they have ended"
     ))]
     BlockedByRunningJobs {
-        /// The guarantee.
+        /// Name of the guarantee.
         guarantee: RecordName,
     },
 }
@@ -117,7 +117,7 @@
 }
 
 impl LeaseTable {
-    /// Whether `job` would be accepted now.
+    /// Checks whether `job` would be accepted now.
     pub fn check_job(&self, job: &JobSpec) -> Result<(), JobRefusal> {
         if job.shape.task_count == 0 {
             return Err(JobRefusal::NoTasks { job: job.name.clone() });
@@ -137,7 +137,7 @@
             });
         }
         let possible_count = self.largest_gang(&job.shape);
-        // Before the first worker registers, nothing is known about what can ever run.
+        // Before the first worker registers, no job can be said to never fit.
         if possible_count < job.shape.task_count && self.cluster.workers().next().is_some() {
             return Err(JobRefusal::NeverFits {
                 job: job.name.clone(),
@@ -149,7 +149,7 @@
         Ok(())
     }
 
-    /// The most tasks of `shape` that any one domain holds when it is empty.
+    /// Returns the most tasks of `shape` that fit into one empty domain.
     fn largest_gang(&self, shape: &Shape) -> u32 {
         let mut slots: FastHashMap<u32, u32> = FastHashMap::default();
         for (index, cell) in self.cluster.workers() {
@@ -158,14 +158,14 @@
                 Adjacency::Rack => cell.rack,
                 Adjacency::DataCentre => cell.data_centre,
             };
-            let here = slot_count(&cell.total, &shape.task).min(shape.task_count);
+            let worker_slots = slot_count(&cell.total, &shape.task).min(shape.task_count);
             let domain = slots.entry(key).or_default();
-            *domain = domain.saturating_add(here);
+            *domain = domain.saturating_add(worker_slots);
         }
         slots.into_values().max().unwrap_or(0)
     }
 
-    /// Whether `guarantee` would be accepted now, in place of the one with the same name.
+    /// Checks whether `guarantee` would be accepted now, replacing the one with the same name.
     pub fn check_guarantee(&self, guarantee: &GuaranteeSpec) -> Result<(), GuaranteeRefusal> {
         let name = &guarantee.name;
         if guarantee.shape.task_count == 0 || guarantee.shape_count == 0 {
@@ -180,14 +180,14 @@
             }
         }
         let accepted = self.guaranteed_shapes_except(name);
-        let wanted = self.guaranteed_shape(guarantee);
+        let requested = self.guaranteed_shape(guarantee);
         let mut shapes = accepted.clone();
         let count = guarantee.shape_count as usize;
-        shapes.extend(std::iter::repeat_n(wanted.clone(), count));
+        shapes.extend(std::iter::repeat_n(requested.clone(), count));
         let capacity = self.capacity_without_reserve();
         if pack(&self.cluster, &mut capacity.clone(), &shapes).is_err() {
             let count = guarantee.shape_count;
-            let nearest = nearest_fit(&self.cluster, &capacity, &accepted, &wanted, count);
+            let nearest = nearest_fit(&self.cluster, &capacity, &accepted, &requested, count);
             return Err(GuaranteeRefusal::DoesNotFit { guarantee: name.clone(), nearest });
         }
         self.plan_bindings_with(guarantee)
@@ -196,10 +196,10 @@
     }
 
     pub(crate) fn guaranteed_shape(&self, guarantee: &GuaranteeSpec) -> GuaranteedShape {
-        let centres = guarantee.data_centres.iter();
+        let names = guarantee.data_centres.iter();
         GuaranteedShape {
             shape: guarantee.shape,
-            data_centres: centres.filter_map(|name| self.cluster.data_centre_index(name)).collect(),
+            data_centres: names.filter_map(|name| self.cluster.data_centre_index(name)).collect(),
         }
     }
 
@@ -213,7 +213,8 @@
             .collect()
     }
 
-    /// What healthy workers offer when the reserve of each data centre has failed.
+    /// Returns the capacity of the healthy workers that are left when the reserve of each data
+    /// centre has failed.
     ///
     /// The largest workers count as failed, which is the worst case for a given number.
     fn capacity_without_reserve(&self) -> Vec<Resources> {
@@ -234,7 +235,7 @@
         offered
     }
 
-    /// The total of each healthy worker, by worker index.
+    /// Returns the total resources of each healthy worker by worker index; zero for other indexes.
     pub(crate) fn offered_capacity(&self) -> Vec<Resources> {
         let length = self.cluster.workers().last().map_or(0, |(index, _)| index as usize + 1);
         let mut offered = vec![Resources::default(); length];
--- a/crates/yuccatack_leases/src/claim.rs
+++ b/crates/yuccatack_leases/src/claim.rs
@@ -1,4 +1,4 @@
-//! The choice of a guaranteed shape to claim.
+//! Selection of a guaranteed shape for a job to claim.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{Assignment, Holding, WorkerIndex, place, slot_count};
@@ -8,34 +8,34 @@
 use crate::scheduling_pass::SchedulingPass;
 use crate::table::GuaranteeEntry;
 
-/// The longest wait for a borrower's checkpoint.
+/// Longest wait for the checkpoint of a borrower; mirrors [`crate::CHECKPOINT_TIMEOUT`].
 const RECLAIM_DELAY_S: f64 = 3.0;
 
 impl<'a> SchedulingPass<'a> {
-    /// Unclaimed shapes that the job may claim, the smallest guarantee first.
+    /// Returns the unclaimed shapes that the job may claim, the smallest guarantee first.
     fn claimable(&self, job: &JobEntry) -> Vec<(&'a GuaranteeEntry, u32)> {
         let Some(entries) = self.guarantees.get(&job.spec.organisation) else { return Vec::new() };
         let accelerators = |entry: &GuaranteeEntry| {
             u64::from(entry.spec.shape.task_count)
                 * u64::from(entry.spec.shape.task.accelerator_count)
         };
-        // A small job that is not urgent would keep a large shape from the job it is meant for.
-        let worthwhile = |entry: &GuaranteeEntry| {
+        // A small job that is not urgent would block a large shape for the job it is meant for.
+        let large_enough = |entry: &GuaranteeEntry| {
             job.spec.class == PriorityClass::Urgent
                 || 2 * job.spec.accelerator_count() >= accelerators(entry)
         };
         let mut entries: Vec<&GuaranteeEntry> = entries
             .iter()
             .copied()
-            .filter(|entry| entry.spec.covers(&job.spec) && worthwhile(entry))
+            .filter(|entry| entry.spec.covers(&job.spec) && large_enough(entry))
             .collect();
         entries.sort_by_key(|entry| accelerators(entry));
         let mut found = Vec::new();
         for entry in entries {
             for (number, instance) in entry.instances.iter().enumerate() {
                 let key = (&entry.spec.name, number as u32);
-                let open = instance.claimed_by.is_none() && !instance.binding.is_empty();
-                if open && !self.claimed.contains(&key) {
+                let claimable = instance.claimed_by.is_none() && !instance.binding.is_empty();
+                if claimable && !self.claimed.contains(&key) {
                     found.push((entry, key.1));
                 }
             }
@@ -43,8 +43,8 @@
         found
     }
 
-    /// The job's tasks laid into a binding.
-    fn lay_out(job: &JobEntry, binding: &[(WorkerIndex, u32)]) -> Vec<Assignment> {
+    /// Assigns the tasks of the job to the slots of a binding.
+    fn assign_tasks(job: &JobEntry, binding: &[(WorkerIndex, u32)]) -> Vec<Assignment> {
         let mut missing = job.spec.shape.task_count;
         let mut parts = Vec::new();
         for (worker, slots) in binding {
@@ -64,12 +64,15 @@
         })
     }
 
-    /// A claim that needs nothing reclaimed: inside a binding, or by moving a binding.
-    pub(crate) fn claim_free(&mut self, job: &JobEntry) -> Option<(Vec<Assignment>, Claim)> {
+    /// Finds a claim that preempts no borrower: inside a binding, or by moving a binding.
+    pub(crate) fn claim_without_reclaim(
+        &mut self,
+        job: &JobEntry,
+    ) -> Option<(Vec<Assignment>, Claim)> {
         let claimable = self.claimable(job);
         for (entry, number) in &claimable {
             let instance = &entry.instances[*number as usize];
-            let parts = Self::lay_out(job, &instance.binding);
+            let parts = Self::assign_tasks(job, &instance.binding);
             if self.is_free(job, &parts) {
                 let guarantee = entry.spec.name.clone();
                 let claim = Claim { guarantee, instance: *number, binding: Vec::new() };
@@ -88,10 +91,10 @@
         for (worker, amount) in &amounts {
             self.overlay.unreserve(*worker, amount);
         }
-        let centres = self.table.guaranteed_shape(&entry.spec).data_centres;
+        let data_centres = self.table.guaranteed_shape(&entry.spec).data_centres;
         let mut request = self.request(job, &[]);
         request.shape = entry.spec.shape;
-        request.data_centres = &centres;
+        request.data_centres = &data_centres;
         request.holding = Holding::Firm;
         request.reservation = None;
         let found = place(&self.overlay, &request);
@@ -102,26 +105,29 @@
         let binding: Vec<(WorkerIndex, u32)> =
             found?.assignments.iter().map(|part| (part.worker, part.task_count)).collect();
         let guarantee = entry.spec.name.clone();
-        let parts = Self::lay_out(job, &binding);
-        let binding = self.named(binding.iter().copied());
+        let parts = Self::assign_tasks(job, &binding);
+        let binding = self.with_worker_names(binding.iter().copied());
         Some((parts, Claim { guarantee, instance: number, binding }))
     }
 
-    /// A claim for which borrowers give way; the one with the fewest borrowers.
-    pub(crate) fn claim_reclaim(&mut self, job: &JobEntry) -> Option<(Vec<Assignment>, Claim)> {
+    /// Finds the claim for which borrowers must release the fewest slots.
+    pub(crate) fn claim_with_reclaim(
+        &mut self,
+        job: &JobEntry,
+    ) -> Option<(Vec<Assignment>, Claim)> {
         let policy = &self.table.policy;
         let cost = |parts: &[Assignment]| {
-            let short: u64 = parts
+            let missing_slot_count: u64 = parts
                 .iter()
                 .map(|part| {
                     let free = slot_count(&self.overlay.free(part.worker), &job.spec.shape.task);
                     u64::from(part.task_count.saturating_sub(free))
                 })
                 .sum();
-            policy.completion_weight * RECLAIM_DELAY_S * short as f64
+            policy.completion_weight * RECLAIM_DELAY_S * missing_slot_count as f64
         };
         let options = self.claimable(job).into_iter().map(|(entry, number)| {
-            let parts = Self::lay_out(job, &entry.instances[number as usize].binding);
+            let parts = Self::assign_tasks(job, &entry.instances[number as usize].binding);
             (cost(&parts), parts, entry, number)
         });
         let (_, parts, entry, instance) =
--- a/crates/yuccatack_leases/src/defragment.rs
+++ b/crates/yuccatack_leases/src/defragment.rs
@@ -1,4 +1,4 @@
-//! Moves of running jobs by checkpoint, where they make room for larger ones.
+//! Moves of running jobs by checkpoint, to make capacity usable for larger jobs.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{Assignment, Reservation, WorkerIndex, place, release_gain, slot_count};
@@ -9,32 +9,33 @@
 use crate::scheduler::Scheduler;
 use crate::scheduling_pass::SchedulingPass;
 
-/// What a move costs for each accelerator: checkpoint, stop, prepare and start.
+/// Time that a move costs for each accelerator: checkpoint, stop, prepare and start.
 const MOVE_COST_S: u64 = 10;
-/// A job that was placed shorter ago is not moved, so that moves do not follow each other.
-const SETTLED_AFTER: DurationMs = DurationMs::from_seconds(120);
-/// A job that is expected to end sooner is not worth a move.
-const LEAST_REMAINING: DurationMs = DurationMs::from_seconds(60);
-/// Jobs moved at once; each needs a search for its new place, and all of them together must stay
-/// within the time of one decision.
-const MAX_MOVED: usize = 8;
-/// Jobs that give way at once to a starved one; they need no search. The largest gang has 64.
-const MAX_GIVING_WAY: usize = 64;
-/// The wait between two moves without a starved job.
+/// Run time of an attempt before its job may be moved, so that a job is not moved repeatedly.
+const MIN_RUN_TIME_BEFORE_MOVE: DurationMs = DurationMs::from_seconds(120);
+/// Expected remaining run time below which a move costs more than it gains.
+const MIN_REMAINING_RUN_TIME: DurationMs = DurationMs::from_seconds(60);
+/// Most jobs moved at once. Each needs a search for its new placement, and all of them together
+/// must stay within the time of one decision.
+const MAX_MOVED_JOBS: usize = 8;
+/// Most jobs preempted at once for a starved job; they need no search. The largest gang has 64
+/// tasks.
+const MAX_PREEMPTED_JOBS: usize = 64;
+/// Interval between two consolidation searches, which run only while no job starves.
 const CONSOLIDATION_INTERVAL: DurationMs = DurationMs::from_seconds(10);
-/// A move that makes fewer accelerators usable is within the error of the estimate.
-const LEAST_USABLE: f64 = 1.0;
-/// Jobs that one such search looks at.
-const MAX_CONSOLIDATED: usize = 64;
+/// Accelerators that a move must make usable; fewer are within the error of the estimate.
+const MIN_GAIN_ACCELERATORS: f64 = 1.0;
+/// Most jobs that one consolidation search considers.
+const MAX_CONSOLIDATION_CANDIDATES: usize = 64;
 
-/// A way to make room.
-struct Plan<'a> {
+/// Jobs to move so that a gang fits on `workers`.
+struct MovePlan<'a> {
     workers: FastHashSet<WorkerIndex>,
     moved: Vec<&'a JobName>,
-    moved_count: u64,
+    moved_accelerator_count: u64,
 }
 
-/// What a worker can offer to a waiting gang.
+/// Capacity that a worker can offer to a waiting gang.
 struct Offer<'a> {
     worker: WorkerIndex,
     free: Resources,
@@ -42,11 +43,12 @@
 }
 
 impl<'a> SchedulingPass<'a> {
-    /// Whether the job runs on one worker and can be moved off it at little cost.
+    /// Returns `true` if the job runs on a single worker and can be moved off it at a low cost.
     fn is_movable(&self, job: &JobEntry) -> bool {
         let Some(attempt) = job.attempt() else { return false };
-        let settled =
-            attempt.started_at.is_some_and(|start| self.now.since(start) >= SETTLED_AFTER);
+        let settled = attempt
+            .started_at
+            .is_some_and(|start| self.now.since(start) >= MIN_RUN_TIME_BEFORE_MOVE);
         let remaining = self.table.expected_end(job, self.now).since(self.now);
         let first = attempt.tasks.first().map(|slot| slot.worker);
         settled
@@ -54,12 +56,13 @@
             && attempt.is_borrower()
             && job.spec.checkpointable
             && job.spec.class != PriorityClass::Urgent
-            && remaining >= LEAST_REMAINING
+            && remaining >= MIN_REMAINING_RUN_TIME
             && attempt.tasks.iter().all(|slot| Some(slot.worker) == first)
     }
 
-    /// Whether the job gives way to a starved one: it came later and keeps its work.
-    fn gives_way(&self, job: &JobEntry, starved: &JobEntry) -> bool {
+    /// Returns `true` if the job may be preempted for a starved one: it was submitted later, is
+    /// smaller, and keeps its progress.
+    fn is_preemptible_for(&self, job: &JobEntry, starved: &JobEntry) -> bool {
         let Some(attempt) = job.attempt() else { return false };
         attempt.phase == AttemptPhase::Running
             && attempt.is_borrower()
@@ -76,8 +79,9 @@
             .tasks_on(entry)
             .map(|(key, job)| (&key.job, job))
             .filter(|(name, job)| {
-                let yields = starved.is_some_and(|starved| self.gives_way(job, starved));
-                !self.decided.contains(name) && (yields || self.is_movable(job))
+                let preemptible =
+                    starved.is_some_and(|starved| self.is_preemptible_for(job, starved));
+                !self.decided.contains(name) && (preemptible || self.is_movable(job))
             })
             .collect();
         movable.dedup_by_key(|(name, _)| *name);
@@ -85,26 +89,27 @@
         Some(Offer { worker, free: self.overlay.free(worker), movable })
     }
 
-    /// Whether the pause since the last search is over.
-    pub(crate) fn may_search_room(&self, scheduler: &Scheduler) -> bool {
-        scheduler.defragmented_at + MOVE_PAUSE <= self.now
+    /// Returns `true` if the interval since the last search for moves has passed.
+    pub(crate) fn may_search_moves(&self, scheduler: &Scheduler) -> bool {
+        scheduler.defragmented_at + MOVE_SEARCH_INTERVAL <= self.now
     }
 
-    /// Moves jobs out of one domain so that `name` fits there. Returns whether it pays. For a
-    /// starved job, later ones give way even when they have to wait themselves.
-    pub(crate) fn make_room(
+    /// Moves jobs out of one domain so that `name` fits there. Returns `false` when no plan is
+    /// worth its cost. For a starved job, later jobs are preempted even when they have to wait.
+    pub(crate) fn free_capacity_for(
         &mut self,
         scheduler: &mut Scheduler,
         name: &'a JobName,
         starved: bool,
-        held: Option<&StarvedJob>,
+        candidate: Option<&StarvedJob>,
     ) -> bool {
         let table = self.table;
         let Some(job) = table.jobs.get(name) else { return false };
         scheduler.defragmented_at = self.now;
-        let wait_s = held.map_or(60, |held| held.reservation.start_at.since(self.now).get() / 1000);
+        let wait_s =
+            candidate.map_or(60, |job| job.reservation.start_at.since(self.now).get() / 1000);
         let Some(plan) = self.cheapest_plan(job, starved) else { return false };
-        if plan.moved_count * MOVE_COST_S >= job.spec.accelerator_count() * wait_s {
+        if plan.moved_accelerator_count * MOVE_COST_S >= job.spec.accelerator_count() * wait_s {
             return false;
         }
         for moved in &plan.moved {
@@ -123,31 +128,35 @@
         self.commands.push(LeaseCommand::MoveAttempt { job, epoch, at: self.now });
     }
 
-    fn cheapest_plan(&self, job: &JobEntry, starved: bool) -> Option<Plan<'a>> {
+    fn cheapest_plan(&self, job: &JobEntry, starved: bool) -> Option<MovePlan<'a>> {
         let domains = self.table.cluster.emptiest_domains(job.spec.shape.adjacency);
         let plan = |workers: &Vec<WorkerIndex>| self.plan_domain(job, workers, starved);
-        let mut plans: Vec<Plan<'a>> = domains.iter().filter_map(plan).collect();
-        plans.sort_by_key(|plan| plan.moved_count);
-        // The check for new places is the expensive part, so only the cheapest plans get it.
+        let mut plans: Vec<MovePlan<'a>> = domains.iter().filter_map(plan).collect();
+        plans.sort_by_key(|plan| plan.moved_accelerator_count);
+        // The search for new placements is expensive, so only the two cheapest plans get it.
         plans.into_iter().take(2).find(|plan| starved || self.fits_elsewhere(plan))
     }
 
-    /// The cheapest moves that free enough slots on `workers`.
+    /// Plans the cheapest moves that free enough slots on `workers`.
     fn plan_domain(
         &self,
         job: &JobEntry,
         workers: &[WorkerIndex],
         starved: bool,
-    ) -> Option<Plan<'a>> {
-        let waiting = starved.then_some(job);
+    ) -> Option<MovePlan<'a>> {
+        let starved_job = starved.then_some(job);
         let task = &job.spec.shape.task;
         let mut offers: Vec<Offer<'a>> =
-            workers.iter().filter_map(|worker| self.offer(*worker, waiting)).collect();
+            workers.iter().filter_map(|worker| self.offer(*worker, starved_job)).collect();
         let slots = |offer: &Offer<'a>| slot_count(&offer.free, task);
-        let mut plan = Plan { workers: FastHashSet::default(), moved: Vec::new(), moved_count: 0 };
+        let mut plan = MovePlan {
+            workers: FastHashSet::default(),
+            moved: Vec::new(),
+            moved_accelerator_count: 0,
+        };
         let mut total: u32 = offers.iter().map(slots).sum();
         while total < job.spec.shape.task_count {
-            // The worker where one more slot costs the fewest moved accelerators.
+            // Selects the worker where one more slot costs the fewest moved accelerators.
             let (position, steps, cost) = offers
                 .iter()
                 .enumerate()
@@ -163,19 +172,19 @@
                 offer.free = offer.free.checked_add(&whole)?;
                 plan.moved.push(name);
             }
-            let limit = if starved { MAX_GIVING_WAY } else { MAX_MOVED };
+            let limit = if starved { MAX_PREEMPTED_JOBS } else { MAX_MOVED_JOBS };
             if plan.moved.len() > limit {
                 return None;
             }
-            plan.moved_count += cost;
+            plan.moved_accelerator_count += cost;
             total += slots(offer) - before;
         }
         plan.workers = offers.iter().filter(|o| slots(o) > 0).map(|o| o.worker).collect();
         (!plan.moved.is_empty()).then_some(plan)
     }
 
-    /// Whether everything that moves fits outside the planned workers now.
-    fn fits_elsewhere(&self, plan: &Plan<'a>) -> bool {
+    /// Returns `true` if every moved job fits outside the planned workers now.
+    fn fits_elsewhere(&self, plan: &MovePlan<'a>) -> bool {
         let excluded: Vec<WorkerIndex> = plan.workers.iter().copied().collect();
         let mut overlay = self.overlay.clone();
         for name in &plan.moved {
@@ -192,7 +201,7 @@
         true
     }
 
-    /// Moves the jobs whose move makes the most free accelerators usable, so that gangs find room
+    /// Moves the job whose move gains the most usable accelerators, so that gangs find capacity
     /// when they arrive.
     pub(crate) fn consolidate(&mut self, scheduler: &mut Scheduler) {
         if scheduler.defragmented_at + CONSOLIDATION_INTERVAL > self.now {
@@ -201,9 +210,10 @@
         scheduler.defragmented_at = self.now;
         let length = self.table.active.len().max(1);
         let start = scheduler.consolidation_cursor % length;
-        scheduler.consolidation_cursor = start + MAX_CONSOLIDATED;
+        scheduler.consolidation_cursor = start + MAX_CONSOLIDATION_CANDIDATES;
         let active = || self.table.active.iter();
-        let window = active().skip(start).chain(active().take(start)).take(MAX_CONSOLIDATED);
+        let window =
+            active().skip(start).chain(active().take(start)).take(MAX_CONSOLIDATION_CANDIDATES);
         let mut gains: Vec<(f64, &'a JobName)> =
             window.filter_map(|name| Some((self.move_gain(name)?, name))).collect();
         gains.sort_by(|left, right| right.0.total_cmp(&left.0));
@@ -212,7 +222,7 @@
         }
     }
 
-    /// What a move of the job to its best other place is worth, if it pays.
+    /// Returns the net benefit of moving the job to its best other worker, if it is positive.
     fn move_gain(&self, name: &JobName) -> Option<f64> {
         let job = self.table.jobs.get(name)?;
         if !self.is_movable(job) {
@@ -229,16 +239,16 @@
         let usable = freed - found.score;
         let policy = &self.table.policy;
         let remaining_s = self.table.expected_end(job, self.now).since(self.now).get() / 1000;
-        let worth = policy.fragmentation_weight * usable * remaining_s as f64;
+        let benefit = policy.fragmentation_weight * usable * remaining_s as f64;
         let cost = policy.completion_weight * (job.spec.accelerator_count() * MOVE_COST_S) as f64;
-        (usable >= LEAST_USABLE && worth > cost).then_some(worth - cost)
+        (usable >= MIN_GAIN_ACCELERATORS && benefit > cost).then_some(benefit - cost)
     }
 }
 
-/// The wait between two searches for moves on behalf of a waiting job.
-const MOVE_PAUSE: DurationMs = DurationMs::from_seconds(5);
+/// Interval between two searches for moves on behalf of a waiting job.
+const MOVE_SEARCH_INTERVAL: DurationMs = DurationMs::from_seconds(5);
 
-/// How many of the worker's movable jobs must go for one more slot, and their accelerators.
+/// Returns how many movable jobs must leave the worker for one more slot, and their accelerators.
 fn next_slot(offer: &Offer<'_>, task: &Resources) -> Option<(usize, u64)> {
     let before = slot_count(&offer.free, task);
     let mut free = offer.free;
--- a/crates/yuccatack_leases/src/demand.rs
+++ b/crates/yuccatack_leases/src/demand.rs
@@ -1,19 +1,19 @@
-//! The shapes in demand.
+//! Profile of the shapes in demand, for the fragmentation score.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{DemandProfile, WeightedShape};
 
 use crate::table::LeaseTable;
 
-/// The weight of one gang in the profile. The square keeps few large gangs from being outweighed
-/// by many small ones, which find a place anyway.
-pub(crate) fn difficulty(shape: &Shape) -> f64 {
+/// Returns the weight of one gang in the profile. The square of its accelerators keeps few large
+/// gangs from being outweighed by many small ones, which are easy to place.
+pub(crate) fn demand_weight(shape: &Shape) -> f64 {
     let accelerators = f64::from(shape.task_count) * f64::from(shape.task.accelerator_count);
     accelerators * accelerators
 }
 
-/// Shapes asked for lately, guaranteed, and at the heads of the queues, weighted by their
-/// accelerators.
+/// Returns the shapes that were placed recently, are guaranteed, or are at the heads of the queues,
+/// weighted by [`demand_weight`].
 pub(crate) fn profile(table: &LeaseTable, demand: &[(Shape, f64)]) -> DemandProfile {
     let mut shapes: Vec<WeightedShape> = Vec::new();
     let mut add =
@@ -25,13 +25,13 @@
         add(*shape, *weight);
     }
     for entry in table.guarantees.values() {
-        add(entry.spec.shape, difficulty(&entry.spec.shape) * f64::from(entry.spec.shape_count));
+        add(entry.spec.shape, demand_weight(&entry.spec.shape) * f64::from(entry.spec.shape_count));
     }
     for waiting in table.waiting.values() {
         for class in PriorityClass::ALL {
             let head = waiting.class(class).next();
             if let Some(job) = head.and_then(|(_, job)| table.jobs.get(job)) {
-                add(job.spec.shape, difficulty(&job.spec.shape));
+                add(job.spec.shape, demand_weight(&job.spec.shape));
             }
         }
     }
--- a/crates/yuccatack_leases/src/estimate.rs
+++ b/crates/yuccatack_leases/src/estimate.rs
@@ -1,34 +1,34 @@
-//! Correction of declared run times.
+//! Correction of declared run times by the run times of earlier jobs.
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::DurationMs;
 
-/// Older runs than this say little about the next one.
-const SAMPLE_LIMIT: usize = 64;
-/// With fewer runs a quantile is mostly noise, so the declared time is used.
-const LEAST_SAMPLES: usize = 5;
-/// A task that ends at once or hangs must not move the estimate further than this.
+/// Most samples kept, because older runs predict the next one poorly.
+const MAX_SAMPLE_COUNT: usize = 64;
+/// Number of samples below which a quantile is mostly noise and the declared time is used.
+const MIN_SAMPLE_COUNT: usize = 5;
+/// Bounds of a sample, so that a task that ends at once or hangs does not distort the estimate.
 const RATIO_RANGE: (f32, f32) = (0.05, 20.0);
 
-/// Measured ratios of actual to declared run time, newest last.
+/// Ratios of actual to declared run time of successful jobs, newest last.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunTimeEstimate {
     ratios: Vec<f32>,
 }
 
 impl RunTimeEstimate {
-    /// Adds a successful run.
+    /// Adds the run times of a successful job.
     pub fn record(&mut self, declared: DurationMs, actual: DurationMs) {
         let ratio = actual.get().max(1) as f32 / declared.get().max(1) as f32;
-        if self.ratios.len() == SAMPLE_LIMIT {
+        if self.ratios.len() == MAX_SAMPLE_COUNT {
             self.ratios.remove(0);
         }
         self.ratios.push(ratio.clamp(RATIO_RANGE.0, RATIO_RANGE.1));
     }
 
-    /// The ratio that `quantile` of the runs stay below; 1 without enough runs.
+    /// Returns the given quantile of the ratios, or 1 without enough samples.
     pub fn ratio(&self, quantile: f32) -> f32 {
-        if self.ratios.len() < LEAST_SAMPLES {
+        if self.ratios.len() < MIN_SAMPLE_COUNT {
             return 1.0;
         }
         let mut sorted = self.ratios.clone();
@@ -37,7 +37,7 @@
         sorted[position.round() as usize]
     }
 
-    /// The corrected run time.
+    /// Returns the declared run time multiplied by the given quantile of the ratios.
     pub fn corrected(&self, declared: DurationMs, quantile: f32) -> DurationMs {
         DurationMs::new((declared.get() as f64 * f64::from(self.ratio(quantile))) as u64)
     }
--- a/crates/yuccatack_leases/src/explain.rs
+++ b/crates/yuccatack_leases/src/explain.rs
@@ -1,4 +1,4 @@
-//! What callers are told about a job.
+//! Status of a job as reported to callers.
 
 use yuccatack_core::prelude::*;
 
@@ -6,65 +6,67 @@
 use crate::message::StopReason;
 use crate::table::LeaseTable;
 
-/// Where a job stands, in the words of a caller.
+/// Status of a job as reported to a caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum JobStatus {
-    /// No attempt holds anything.
+    /// No attempt holds capacity.
     Waiting,
-    /// Workers are being freed or prepared; no task was told to run.
+    /// Workers are being freed or prepared; no task has been started.
     Preparing,
-    /// The workers were told to run.
+    /// The tasks have been started.
     Running,
     /// Every task succeeded.
     Succeeded,
-    /// It ran and failed, and may not run again.
+    /// The job failed and may not run again.
     Failed,
-    /// It was refused for good.
+    /// The job was refused permanently.
     Refused,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
-    /// It ran at least partly and its outcome cannot be known, or the job is not known.
+    /// The job ran at least partly with an outcome that cannot be determined, or no job of this
+    /// name is stored.
     Unknown,
 }
 
-/// Why a job waits.
+/// Reason for which a job waits.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WaitReason {
-    /// Its organisation holds as much as its quota allows.
+    /// The job would take its organisation above the quota.
     Quota {
-        /// What it holds.
+        /// Accelerators that the organisation holds.
         held_count: u64,
-        /// What it may hold.
+        /// Accelerators that the organisation may hold.
         quota_count: u32,
     },
     /// Other jobs hold the capacity.
     Capacity {
         /// Free accelerators on the whole platform.
         free_count: u64,
-        /// What the job needs in one domain.
+        /// Accelerators that the job needs in one domain.
         needed_count: u64,
     },
-    /// It can be neither checkpointed nor run again, and what is free is set aside.
+    /// The job can be neither checkpointed nor run again, and the free capacity is reserved for
+    /// guarantees.
     Guarantees,
 }
 
-/// The status of a job with its reason.
+/// Status of a job with its reason.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// Where it stands.
+    /// Status at the time of the query.
     pub status: JobStatus,
-    /// Whether it is certain that no part of the job ran.
+    /// `true` if it is certain that no part of the job ran.
     pub not_run: bool,
-    /// Why it waits, if it does.
+    /// Reason for which the job waits; absent in every other status.
     pub wait: Option<WaitReason>,
-    /// The same for a human reader.
+    /// Description of the status and its reason for an operator.
     pub text: String,
 }
 
 impl LeaseTable {
-    /// The status of a job with its reason.
+    /// Returns the status of a job with its reason.
     pub fn explain(&self, job: &JobName) -> Explanation {
         let Some(entry) = self.jobs.get(job) else {
             return Explanation {
--- a/crates/yuccatack_leases/src/health.rs
+++ b/crates/yuccatack_leases/src/health.rs
@@ -7,34 +7,35 @@
 use crate::worker::{WorkerEntry, WorkerHealth};
 use crate::{MAX_FAILED_JOBS, MAX_FAILED_WORKERS};
 
-/// The first wait before a quarantined worker is probed; it doubles up to the limit.
-const FIRST_PROBE_WAIT_MS: u64 = 30_000;
-/// Half an hour keeps a permanently broken worker from costing more than 48 jobs a day.
-const PROBE_WAIT_LIMIT_MS: u64 = 1_800_000;
-/// A lost worker is forgotten after this time.
+/// Delay before the first probe of a quarantined worker; it doubles with each failed probe.
+const INITIAL_PROBE_BACKOFF_MS: u64 = 30_000;
+/// Longest delay between probes. Half an hour limits a permanently broken worker to 48 failed jobs
+/// a day.
+const MAX_PROBE_BACKOFF_MS: u64 = 1_800_000;
+/// Time for which the entry of a lost worker is kept.
 const WORKER_RETENTION: DurationMs = DurationMs::from_seconds(3600);
 
 impl WorkerEntry {
     fn postpone_probe(&mut self, at: TimestampMs) {
         let probe_at = at + DurationMs::new(self.backoff_ms);
         self.health = WorkerHealth::Quarantined { probe_at };
-        self.backoff_ms = (self.backoff_ms * 2).min(PROBE_WAIT_LIMIT_MS);
+        self.backoff_ms = (self.backoff_ms * 2).min(MAX_PROBE_BACKOFF_MS);
     }
 }
 
 impl LeaseTable {
-    pub(crate) fn credit_worker(&mut self, name: &WorkerName) -> Vec<LeaseEvent> {
+    pub(crate) fn record_worker_success(&mut self, name: &WorkerName) -> Vec<LeaseEvent> {
         let Some(worker) = self.workers.get_mut(name) else { return Vec::new() };
         worker.failed_jobs.clear();
-        worker.backoff_ms = FIRST_PROBE_WAIT_MS;
+        worker.backoff_ms = INITIAL_PROBE_BACKOFF_MS;
         if !matches!(worker.health, WorkerHealth::Quarantined { .. }) {
             return Vec::new();
         }
         self.restore_worker(name)
     }
 
-    /// Lets a quarantined worker serve without a probe, because no waiting job can be one. The
-    /// next failure quarantines it again, for longer.
+    /// Returns a quarantined worker to service without a probe, because no waiting job is suitable
+    /// as one. The next failure quarantines it again, with a longer delay.
     pub(crate) fn release_on_probation(
         &mut self,
         name: &WorkerName,
@@ -56,12 +57,12 @@
         self.quarantined.remove(name);
         self.cluster.update(index, |cell| cell.schedulable = true);
         let mut events = vec![LeaseEvent::WorkerRestored(name.clone())];
-        events.extend(self.restore_bindings());
+        events.extend(self.rebind_unbacked());
         events
     }
 
-    /// Counts the first failure of an attempt against the job and the worker.
-    pub(crate) fn blame_worker(
+    /// Counts the first failure of an attempt against both the job and the worker.
+    pub(crate) fn record_worker_failure(
         &mut self,
         name: &WorkerName,
         job: &JobName,
@@ -71,24 +72,24 @@
         if worker.failed_jobs.len() < MAX_FAILED_JOBS {
             worker.failed_jobs.insert(job.clone());
         }
-        let full = worker.failed_jobs.len() >= MAX_FAILED_JOBS;
+        let at_limit = worker.failed_jobs.len() >= MAX_FAILED_JOBS;
         let mut healthy = true;
         let mut quarantine = false;
         match worker.health {
-            WorkerHealth::Healthy if full => quarantine = true,
+            WorkerHealth::Healthy if at_limit => quarantine = true,
             WorkerHealth::Quarantined { .. } => {
                 healthy = false;
                 worker.postpone_probe(at);
             }
             WorkerHealth::Healthy | WorkerHealth::Lost { .. } => {}
         }
-        let record = (name.clone(), worker.quarantine_count);
+        let failure = (name.clone(), worker.quarantine_count);
         if let Some(entry) = self.jobs.get_mut(job) {
             entry.failure_count += 1;
-            if healthy && !entry.failed_on.contains(&record) {
-                // One more than matter, because a later quarantine may discount one.
+            if healthy && !entry.failed_on.contains(&failure) {
+                // Keeps more workers than the limit, because a later quarantine may discount some.
                 entry.failed_on.truncate(2 * MAX_FAILED_WORKERS);
-                entry.failed_on.push(record);
+                entry.failed_on.push(failure);
             }
         }
         if quarantine { self.quarantine(name, at) } else { Vec::new() }
@@ -100,14 +101,14 @@
         worker.quarantine_count += 1;
         let index = worker.index;
         self.quarantined.insert(name.clone());
-        self.retire_capacity(index);
+        self.mark_unschedulable(index);
         let mut events = vec![LeaseEvent::WorkerQuarantined(name.clone())];
-        events.extend(self.restore_bindings());
+        events.extend(self.rebind_unbacked());
         events
     }
 
-    /// Takes a worker out of the capacity; what runs there is not affected.
-    fn retire_capacity(&mut self, index: u32) {
+    /// Removes a worker from the schedulable capacity; tasks that run there are not affected.
+    fn mark_unschedulable(&mut self, index: u32) {
         self.unbind_worker(index);
         self.cluster.update(index, |cell| cell.schedulable = false);
     }
@@ -117,7 +118,7 @@
         registration: WorkerRegistration,
         at: TimestampMs,
     ) -> Vec<LeaseEvent> {
-        self.forget_lost_workers(at);
+        self.remove_expired_workers(at);
         let name = &registration.worker;
         let mut quarantine_count = 0;
         let mut registration_number = 1;
@@ -127,7 +128,7 @@
             }
             quarantine_count = known.quarantine_count;
             registration_number = known.registration_number + 1;
-            self.forget_worker(name);
+            self.remove_worker(name);
         }
         let index = self.cluster.add_worker(
             name,
@@ -143,13 +144,13 @@
             health: WorkerHealth::Healthy,
             tasks: Default::default(),
             failed_jobs: Default::default(),
-            backoff_ms: FIRST_PROBE_WAIT_MS,
+            backoff_ms: INITIAL_PROBE_BACKOFF_MS,
             quarantine_count,
         };
         self.workers.insert(name.clone(), entry);
         let mut events = Vec::new();
         events.push(LeaseEvent::WorkerRegistered(name.clone()));
-        events.extend(self.restore_bindings());
+        events.extend(self.rebind_unbacked());
         events
     }
 
@@ -168,25 +169,25 @@
         let (index, tasks) = (worker.index, worker.tasks.clone());
         self.quarantined.remove(name);
         self.lost.insert((at, name.clone()));
-        self.retire_capacity(index);
+        self.mark_unschedulable(index);
         let mut events = vec![LeaseEvent::WorkerLost(name.clone())];
         for key in tasks {
             events.extend(self.end_task(&key.job, key.index, TaskOutcome::Lost, at));
         }
-        events.extend(self.restore_bindings());
+        events.extend(self.rebind_unbacked());
         events
     }
 
-    fn forget_lost_workers(&mut self, now: TimestampMs) {
+    fn remove_expired_workers(&mut self, now: TimestampMs) {
         while let Some((since, name)) = self.lost.first().cloned() {
             if now.since(since) <= WORKER_RETENTION {
                 break;
             }
-            self.forget_worker(&name);
+            self.remove_worker(&name);
         }
     }
 
-    fn forget_worker(&mut self, name: &WorkerName) {
+    fn remove_worker(&mut self, name: &WorkerName) {
         let Some(worker) = self.workers.remove(name) else { return };
         if let WorkerHealth::Lost { since } = worker.health {
             self.lost.remove(&(since, name.clone()));
--- a/crates/yuccatack_leases/src/heartbeat.rs
+++ b/crates/yuccatack_leases/src/heartbeat.rs
@@ -4,103 +4,104 @@
 
 use crate::message::WorkerRegistration;
 
-/// One task of one attempt.
+/// Identifies one task of one attempt.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct TaskReference {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// The attempt.
+    /// Fencing epoch of the attempt.
     pub epoch: FencingEpoch,
-    /// The task.
+    /// Index of the task within its gang, from 0.
     pub index: u32,
 }
 
-/// What a worker says about a task.
+/// State of a task as reported by its worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportedState {
-    /// Ready to run.
+    /// The capacity is held and the task can be started.
     Prepared,
-    /// Runs.
+    /// The task has been started.
     Running,
-    /// Saved its progress and ended.
+    /// The task saved its progress and ended.
     Checkpointed,
-    /// Ended because it was told to or because the lease ended.
+    /// The task ended on command or because the lease expired.
     Stopped,
-    /// Did its work.
+    /// The task completed its work.
     Succeeded,
-    /// Ended with an error.
+    /// The task ended with an error.
     Failed,
 }
 
-/// A task in a heartbeat.
+/// Task as listed in a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportedTask {
-    /// Which task.
+    /// Attempt and index of the task.
     pub task: TaskReference,
-    /// How far it is.
+    /// State when the heartbeat was sent.
     pub state: ReportedState,
-    /// What it uses, as measured some time ago.
+    /// Resource usage, as measured some time before the heartbeat.
     pub usage: Resources,
 }
 
-/// A heartbeat of a worker.
+/// Heartbeat of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatReport {
-    /// The worker and what it offers.
+    /// Name, location and resources of the worker.
     pub registration: WorkerRegistration,
-    /// Grows with each heartbeat of an incarnation.
+    /// Sequence number that grows with each heartbeat of an incarnation.
     pub sequence: u64,
-    /// Every task that the worker holds or that has ended and was not acknowledged.
+    /// Every task that the worker holds, and every ended task that was not acknowledged yet.
     pub tasks: Vec<ReportedTask>,
 }
 
-/// What a worker is told to do with a task.
+/// Action that a worker is requested to take on a task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CommandKind {
-    /// Hold the capacity and get ready.
+    /// Reserve the capacity and prepare the task.
     Prepare {
-        /// The accelerators to use, by number.
+        /// Numbers of the accelerators to use.
         accelerators: Vec<u32>,
-        /// The amounts of the task.
+        /// Resources that the task may use.
         resources: Resources,
-        /// The number of tasks of the gang.
+        /// Number of tasks in the gang.
         task_count: u32,
-        /// The command line.
+        /// Command line to execute.
         command: Vec<String>,
-        /// The attempt whose checkpoint to continue.
+        /// Epoch of the attempt whose checkpoint is resumed; absent for a start from the beginning.
         resume_epoch: Option<FencingEpoch>,
     },
-    /// Run.
+    /// Start the prepared task.
     Start,
-    /// Save the progress and end.
+    /// Save the progress and end the task.
     Checkpoint,
-    /// Use no more than this many thousandths of the processor time.
+    /// Limit the processor time of the task.
     Throttle {
-        /// The limit.
+        /// Limit in thousandths of the processor time.
         limit_milli: u32,
     },
-    /// End at once, also when the task is not known.
+    /// End the task at once; also sent for a task that the worker does not report.
     Stop,
 }
 
-/// A command to a worker.
+/// Command to a worker about one task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerCommand {
-    /// Which task.
+    /// Task that the command applies to.
     pub task: TaskReference,
-    /// What to do.
+    /// Requested action.
     pub kind: CommandKind,
 }
 
-/// The reply to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatReply {
-    /// The sequence of the heartbeat.
+    /// Sequence number of the heartbeat that is answered.
     pub sequence: u64,
-    /// How long tasks may run, counted from when the heartbeat was sent; `None` grants nothing.
+    /// Time for which tasks may run, counted from the sending of the heartbeat; `None` grants no
+    /// lease.
     pub lease: Option<DurationMs>,
-    /// What to do. Sent again with each reply until the worker reports the result.
+    /// Commands to carry out; each is repeated in every reply until the worker reports the result.
     pub commands: Vec<WorkerCommand>,
-    /// Ended tasks that need not be reported again.
+    /// Ended tasks that the worker need not report again.
     pub acknowledged: Vec<TaskReference>,
 }
--- a/crates/yuccatack_leases/src/invariant.rs
+++ b/crates/yuccatack_leases/src/invariant.rs
@@ -1,4 +1,4 @@
-//! Invariants that are asserted after every command.
+//! Invariants of the lease table, asserted after commands are applied.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +7,25 @@
 use crate::job::{AttemptPhase, TaskState};
 use crate::table::LeaseTable;
 
-/// Up to this many workers the full check runs after every command.
-const SMALL_WORKER_COUNT: usize = 32;
-/// On larger platforms the full check, which visits every task, runs once in this many commands.
-const FULL_CHECK_INTERVAL: u64 = 4_096;
+/// Number of workers up to which the full check runs after every command.
+const FULL_CHECK_MAX_WORKERS: usize = 32;
+/// Commands between two full checks on larger platforms, because each check visits every task.
+const FULL_CHECK_INTERVAL_COMMANDS: u64 = 4_096;
 
 impl LeaseTable {
     pub(crate) fn assert_invariants(&self) {
-        let small = self.workers.len() <= SMALL_WORKER_COUNT;
-        let sampled = self.applied_count.is_multiple_of(FULL_CHECK_INTERVAL);
+        let small = self.workers.len() <= FULL_CHECK_MAX_WORKERS;
+        let sampled = self.applied_count.is_multiple_of(FULL_CHECK_INTERVAL_COMMANDS);
         if !small && !sampled {
             return;
         }
         if let Err(violation) = self.verify() {
-            panic!("{violation}; report this fault");
+            panic!("lease table is inconsistent: {violation}; report this fault");
         }
     }
 
-    /// Recomputes everything from the attempts and bindings and compares.
+    /// Recomputes the capacity of every worker from attempts and bindings, and compares it with the
+    /// stored values.
     ///
     /// Covers R1 (every unclaimed guaranteed shape can be freed by reclaiming borrowers alone),
     /// R2 (a started gang is whole until it ends) and that no accelerator has two users.
@@ -86,12 +87,13 @@
             }
         }
         for (index, cell) in self.cluster.workers() {
-            let of = |map: &BTreeMap<u32, Resources>| map.get(&index).copied().unwrap_or_default();
+            let recomputed =
+                |map: &BTreeMap<u32, Resources>| map.get(&index).copied().unwrap_or_default();
             let mask = masks.get(&index).copied().unwrap_or_default();
-            let consistent = cell.used == of(&used)
-                && cell.booked == of(&booked)
-                && cell.firm == of(&firm)
-                && cell.reserved == of(&reserved)
+            let consistent = cell.used == recomputed(&used)
+                && cell.booked == recomputed(&booked)
+                && cell.firm == recomputed(&firm)
+                && cell.reserved == recomputed(&reserved)
                 && cell.accelerator_mask == mask;
             if !consistent {
                 return Err(format!("the capacity of {} does not match its tasks", cell.name));
@@ -99,15 +101,15 @@
             if !cell.total.contains(&cell.used) {
                 return Err(format!("{} is used beyond its capacity", cell.name));
             }
-            let kept = cell.firm.checked_add(&cell.reserved).unwrap_or(cell.firm);
-            if cell.schedulable && !cell.total.contains(&kept) {
+            let committed = cell.firm.checked_add(&cell.reserved).unwrap_or(cell.firm);
+            if cell.schedulable && !cell.total.contains(&committed) {
                 return Err(format!("a guaranteed shape on {} cannot be reclaimed", cell.name));
             }
         }
         self.verify_claims()
     }
 
-    /// A claiming job runs inside its binding, so that it takes nothing from other guarantees.
+    /// Checks that a claiming job runs inside its binding and takes nothing from other guarantees.
     fn verify_claims(&self) -> Result<(), String> {
         for (name, entry) in &self.guarantees {
             for instance in &entry.instances {
--- a/crates/yuccatack_leases/src/job.rs
+++ b/crates/yuccatack_leases/src/job.rs
@@ -1,4 +1,4 @@
-//! The state of a job and of its attempt.
+//! State of a job and of its attempt.
 
 use std::sync::Arc;
 
@@ -10,123 +10,126 @@
 use crate::message::{StopReason, TaskOutcome};
 use crate::spec::JobSpec;
 
-/// A job with everything that is known about it.
+/// Replicated state of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobEntry {
-    /// What was submitted.
+    /// Specification as submitted.
     pub spec: Arc<JobSpec>,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     pub submitted_at: TimestampMs,
-    /// The epoch of the last attempt; zero when there was none.
+    /// Fencing epoch of the last attempt; zero when there was none.
     pub last_epoch: FencingEpoch,
-    /// Where the job stands.
+    /// Current phase in the lifecycle of the job.
     pub phase: JobPhase,
-    /// How many attempts were started; 0 means that no part of the job ran.
+    /// Number of attempts that were started; a job with 0 may still have run, see
+    /// `ran_before_start`.
     pub started_count: u32,
-    /// Whether a worker reported work on an attempt that was not started.
-    pub ran_unasked: bool,
-    /// Whether work was done that no checkpoint holds, so that another start would repeat it.
+    /// `true` if a worker reported work on an attempt that was not started.
+    #[serde(rename = "ran_unasked")]
+    pub ran_before_start: bool,
+    /// `true` if the job did work that no checkpoint contains, so that another start repeats it.
     pub unsaved: bool,
-    /// The attempt whose checkpoint the next attempt continues.
+    /// Epoch of the attempt whose checkpoint the next attempt resumes.
     pub checkpoint: Option<FencingEpoch>,
-    /// Run time that the checkpoint saves.
+    /// Run time whose progress the checkpoint contains.
     pub saved_run_time_ms: u64,
-    /// The healthy workers it failed on, with their quarantine count at that time.
+    /// Healthy workers on which the job failed, with their quarantine count at that time.
     pub failed_on: Vec<(WorkerName, u32)>,
-    /// How many attempts failed.
+    /// Number of attempts that failed.
     pub failure_count: u32,
-    /// When it reached its final status.
+    /// Time at which the job reached its final phase; absent before that.
     pub finished_at: Option<TimestampMs>,
 }
 
-/// Where a job stands.
+/// Phase of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// No attempt holds anything.
+    /// No attempt holds capacity.
     Waiting,
     /// An attempt holds or waits for capacity.
     Active(Box<Attempt>),
     /// Every task succeeded.
     Succeeded,
-    /// The only allowed attempt failed.
+    /// An attempt failed and the job may not run again.
     Failed(StopReason),
-    /// Refused for good.
+    /// The job was refused permanently.
     Refused(JobRefusal),
-    /// Cancelled by its caller.
+    /// The caller cancelled the job.
     Cancelled,
-    /// An attempt started and its outcome cannot be known.
+    /// An attempt ran with an outcome that cannot be determined, and the job may not run again.
     Unknown(StopReason),
 }
 
-/// One try to run a job.
+/// Placement of a job on its workers, with the state of each task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Its number.
+    /// Fencing epoch, which numbers the attempts of a job.
     pub epoch: FencingEpoch,
-    /// Its tasks by index.
+    /// Tasks of the gang, by index.
     pub tasks: Vec<TaskSlot>,
-    /// How far it is.
+    /// Current phase in the lifecycle of the attempt.
     pub phase: AttemptPhase,
-    /// The guarantee and instance that it claims.
+    /// Guarantee and index of the instance that the attempt claims, if any.
     pub claim: Option<(RecordName, u32)>,
-    /// Whether its capacity counts as firm, because the job cannot be reclaimed.
+    /// `true` if the attempt holds its capacity firmly, outside any claim, because the job cannot
+    /// be reclaimed.
     pub firm: bool,
-    /// When it was placed.
+    /// Time at which the attempt was placed.
     pub began_at: TimestampMs,
-    /// When all workers were told to start.
+    /// Time at which the gang was started; absent before that.
     pub started_at: Option<TimestampMs>,
-    /// When the leader must act if the phase has not changed.
+    /// Time at which the leader stops the attempt if the phase has not changed.
     pub deadline: Option<TimestampMs>,
 }
 
 impl Attempt {
-    /// Whether borrowed capacity can be taken back from it.
+    /// Returns `true` if the capacity of the attempt is borrowed and can be reclaimed.
     pub fn is_borrower(&self) -> bool {
         self.claim.is_none() && !self.firm
     }
 }
 
-/// How far an attempt is.
+/// Phase of an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AttemptPhase {
-    /// Some of its capacity is still held by borrowers that give it up.
+    /// Part of the capacity is still held by borrowers that are being evicted.
     Reclaiming,
-    /// Its workers are told to prepare.
+    /// The workers are requested to prepare their tasks.
     Preparing,
-    /// Its workers are told to run.
+    /// The workers are requested to run their tasks.
     Running,
-    /// Its workers are told to checkpoint and end.
+    /// The workers are requested to checkpoint and end their tasks.
     Checkpointing(StopReason),
-    /// Its workers are told to stop.
+    /// The workers are requested to stop their tasks.
     Stopping(StopReason),
 }
 
-/// One task of an attempt.
+/// Placement and state of one task of an attempt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskSlot {
-    /// Where it runs.
+    /// Index of the worker that the task is placed on.
     pub worker: WorkerIndex,
-    /// One bit for each accelerator it uses.
+    /// Accelerators assigned to the task, one bit each; 0 while the task is booked or has ended.
     pub accelerator_mask: u64,
-    /// How far it is.
+    /// Current state of the task.
     pub state: TaskState,
 }
 
-/// How far a task is.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for a borrower to give up the capacity.
+    /// The task waits until borrowers release the capacity.
     Booked,
-    /// Holds the capacity; its worker has not confirmed the preparation.
+    /// The task holds its capacity; the worker has not confirmed the preparation.
     Assigned,
-    /// Its worker has confirmed the preparation.
+    /// The worker has confirmed the preparation.
     Prepared,
-    /// Holds nothing any more.
+    /// The task has ended and released its capacity.
     Ended(TaskOutcome),
 }
 
 impl TaskState {
-    /// Whether the task holds nothing any more.
+    /// Returns `true` if the task has ended and released its capacity.
     pub fn is_ended(self) -> bool {
         matches!(self, Self::Ended(_))
     }
@@ -140,7 +143,7 @@
             last_epoch: FencingEpoch::default(),
             phase: JobPhase::Waiting,
             started_count: 0,
-            ran_unasked: false,
+            ran_before_start: false,
             unsaved: false,
             checkpoint: None,
             saved_run_time_ms: 0,
@@ -150,7 +153,7 @@
         }
     }
 
-    /// The attempt, if there is one.
+    /// Returns the current attempt, if there is one.
     pub fn attempt(&self) -> Option<&Attempt> {
         match &self.phase {
             JobPhase::Active(attempt) => Some(attempt),
@@ -158,13 +161,13 @@
         }
     }
 
-    /// Whether no part of the job has run.
+    /// Returns `true` if no part of the job has run.
     pub fn has_never_run(&self) -> bool {
-        self.started_count == 0 && !self.ran_unasked
+        self.started_count == 0 && !self.ran_before_start
     }
 
-    /// Whether another attempt may be started.
-    pub fn may_start_again(&self) -> bool {
+    /// Returns `true` if another attempt may start: the job is idempotent or has no unsaved work.
+    pub fn may_restart(&self) -> bool {
         self.spec.idempotent || !self.unsaved
     }
 }
--- a/crates/yuccatack_leases/src/lib.rs
+++ b/crates/yuccatack_leases/src/lib.rs
@@ -1,8 +1,8 @@
-//! Jobs, gangs, attempts, worker health and reclaim.
+//! Job scheduling: gangs, attempts, worker leases, worker health and reclaim.
 //!
-//! [`LeaseTable`] is replicated: it changes only by [`LeaseTable::apply`]. [`Scheduler`] is the
-//! leader's memory: it answers heartbeats and decides which commands to propose. Neither does I/O
-//! or reads a clock; `now` is Unix time in milliseconds that never goes back within a process.
+//! [`LeaseTable`] is the replicated state and changes only by [`LeaseTable::apply`]. [`Scheduler`]
+//! is kept by the leader alone: it answers heartbeats and proposes commands. Neither does I/O or
+//! reads a clock; `now` is Unix time in milliseconds that never goes backwards within a process.
 
 mod apply;
 mod attempt;
@@ -49,17 +49,18 @@
 
 use yuccatack_core::DurationMs;
 
-/// How long a worker may run tasks after it sent a heartbeat that was answered.
+/// Time for which a worker may run tasks, counted from the sending of an answered heartbeat.
 pub const LEASE_DURATION: DurationMs = DurationMs::new(6_000);
-/// How far the clocks of a worker and of the leader may drift apart during one lease.
+/// Largest drift between the clocks of a worker and of the leader during one lease.
 pub const CLOCK_MARGIN: DurationMs = DurationMs::new(500);
-/// How often a worker sends a heartbeat when nothing changes.
+/// Interval between the heartbeats of a worker while nothing changes on it.
 pub const HEARTBEAT_INTERVAL: DurationMs = DurationMs::new(2_000);
-/// How long a borrower may take to checkpoint before it is stopped.
+/// Time that a borrower gets to checkpoint before it is stopped.
 pub const CHECKPOINT_TIMEOUT: DurationMs = DurationMs::new(3_000);
-/// How long the workers of a gang may take to confirm before the gang is released.
+/// Time that the workers of a gang get to confirm the preparation before the gang is released.
 pub const PREPARE_TIMEOUT: DurationMs = DurationMs::new(5_000);
-/// A job that failed on this many different healthy workers is refused.
+/// Number of different healthy workers on which a job fails before it is refused.
 pub const MAX_FAILED_WORKERS: usize = 3;
-/// A worker on which this many different jobs failed and none succeeded is quarantined.
+/// Number of different jobs that fail on a worker, with no success between them, before it is
+/// quarantined.
 pub const MAX_FAILED_JOBS: usize = 3;
--- a/crates/yuccatack_leases/src/message.rs
+++ b/crates/yuccatack_leases/src/message.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log and the events that they cause.
+//! Commands of the replicated log and the events that they produce.
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
@@ -6,173 +6,174 @@
 use crate::check::{GuaranteeRefusal, JobRefusal};
 use crate::spec::{GuaranteeSpec, JobSpec, PolicySpec, QuotaSpec};
 
-/// A change of the lease table. `at` is the time of the leader that proposed it.
+/// Change of the lease table. `at` is the clock of the leader that proposed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseCommand {
     /// Accepts or replaces a guarantee.
     SetGuarantee(GuaranteeSpec),
     /// Withdraws a guarantee; a job that claims it keeps running.
     RemoveGuarantee(RecordName),
-    /// Sets the limits of an organisation.
+    /// Sets the quota and fair-share weight of an organisation.
     SetQuota(QuotaSpec),
-    /// Removes the limits of an organisation.
+    /// Removes the quota and fair-share weight of an organisation.
     RemoveQuota(OrganisationName),
     /// Sets the scheduling policy.
     SetPolicy(PolicySpec),
-    /// Accepts a job.
+    /// Adds a job to the queue of its organisation.
     SubmitJob {
-        /// The job.
+        /// Specification of the submitted job.
         job: JobSpec,
-        /// When the leader accepted it.
+        /// Time at which the leader received the submission.
         at: TimestampMs,
     },
-    /// Cancels jobs in one step; names that are not known or are finished are skipped.
+    /// Cancels jobs in one command; unknown names and finished jobs are skipped.
     CancelJobs {
-        /// The jobs.
+        /// Names of the jobs to cancel.
         jobs: Vec<JobName>,
-        /// When the leader accepted the cancellation.
+        /// Time at which the leader received the cancellation.
         at: TimestampMs,
     },
-    /// Adds a worker. A known worker is replaced only after its loss, because a delayed heartbeat of
-    /// an old incarnation must not end the tasks of the present one.
+    /// Registers a worker. A registered worker is replaced only after its loss, because a delayed
+    /// heartbeat of an old incarnation must not end the tasks of the current one.
     RegisterWorker {
-        /// The worker and what it offers.
+        /// Name, location and resources of the worker.
         worker: WorkerRegistration,
-        /// When its heartbeat arrived.
+        /// Time at which the heartbeat of the worker arrived.
         at: TimestampMs,
     },
-    /// Releases everything on a worker whose lease and margin have ended.
+    /// Marks a worker as lost and releases its capacity, once its lease and the clock margin have
+    /// ended.
     LoseWorker {
-        /// The worker.
+        /// Name of the lost worker.
         worker: WorkerName,
-        /// The registration that was silent. A later one is not affected, so a command that the
-        /// log delivers twice or late never takes a live worker's tasks.
+        /// Registration whose lease expired. A later one is not affected, so a command that the log
+        /// delivers twice or late never ends the tasks of a live worker.
         registration_number: u64,
-        /// When the margin had ended.
+        /// Time at which the leader found the margin expired.
         at: TimestampMs,
     },
-    /// Lets a quarantined worker serve again although no job could probe it.
+    /// Returns a quarantined worker to service without a successful probe.
     ReleaseOnProbation {
-        /// The worker.
+        /// Name of the quarantined worker.
         worker: WorkerName,
-        /// When the leader decided it.
+        /// Time of the leader's decision.
         at: TimestampMs,
     },
-    /// Places a gang. Refused as a whole when any part of it no longer fits.
+    /// Places a gang. Refused as a whole when any of its tasks no longer fits.
     BeginAttempt(BeginAttempt),
     /// Records that workers hold prepared tasks.
     ConfirmPrepared {
-        /// The job.
+        /// Name of the job.
         job: JobName,
-        /// Its attempt.
+        /// Fencing epoch of the attempt.
         epoch: FencingEpoch,
-        /// The prepared tasks.
+        /// Indexes of the prepared tasks.
         indexes: Vec<u32>,
-        /// When the last confirmation arrived.
+        /// Time at which the last confirmation arrived.
         at: TimestampMs,
     },
-    /// Starts a gang of which every task is prepared. From here on the job may have run.
+    /// Starts a gang of which every task is prepared. Afterwards the job counts as possibly run.
     StartAttempt {
-        /// The job.
+        /// Name of the job.
         job: JobName,
-        /// Its attempt.
+        /// Fencing epoch of the attempt.
         epoch: FencingEpoch,
-        /// When the leader decided it.
+        /// Time of the leader's decision.
         at: TimestampMs,
     },
-    /// Takes an attempt off its workers, by checkpoint where possible, to run it elsewhere.
+    /// Evicts an attempt from its workers, by checkpoint where possible, to run it elsewhere.
     MoveAttempt {
-        /// The job.
+        /// Name of the job.
         job: JobName,
-        /// Its attempt.
+        /// Fencing epoch of the attempt.
         epoch: FencingEpoch,
-        /// When the leader decided it.
+        /// Time of the leader's decision.
         at: TimestampMs,
     },
     /// Stops all tasks of an attempt.
     StopAttempt {
-        /// The job.
+        /// Name of the job.
         job: JobName,
-        /// Its attempt.
+        /// Fencing epoch of the attempt.
         epoch: FencingEpoch,
-        /// Why.
+        /// Recorded reason of the stop.
         reason: StopReason,
-        /// When the leader decided it.
+        /// Time of the leader's decision.
         at: TimestampMs,
     },
     /// Records the confirmed end of a task and releases its capacity.
     EndTask {
-        /// The job.
+        /// Name of the job.
         job: JobName,
-        /// Its attempt.
+        /// Fencing epoch of the attempt.
         epoch: FencingEpoch,
-        /// The task.
+        /// Index of the task within its gang, from 0.
         index: u32,
-        /// How it ended.
+        /// Outcome that the worker reported.
         outcome: TaskOutcome,
-        /// When the report arrived.
+        /// Time at which the report arrived.
         at: TimestampMs,
     },
 }
 
-/// A worker and what it offers.
+/// Registration data of a worker, as sent with each heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRegistration {
-    /// The worker.
+    /// Name of the worker.
     pub worker: WorkerName,
-    /// The run of the worker process.
+    /// Incarnation of the worker process; changes with each start.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Data centre that the worker is in.
     pub data_centre: DataCentreName,
-    /// Its rack within the data centre.
+    /// Rack of the worker within the data centre.
     pub rack: RackName,
-    /// Everything it has.
+    /// Total resources of the worker.
     pub resources: Resources,
 }
 
-/// The decision to place a gang.
+/// Decision to place a gang.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BeginAttempt {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// The attempt; must be the job's next epoch.
+    /// Fencing epoch of the attempt; must be the next epoch of the job.
     pub epoch: FencingEpoch,
-    /// The workers in task order, with how many tasks each runs.
+    /// Workers in task order, with the number of tasks that each runs.
     pub assignments: Vec<WorkerTasks>,
-    /// The guaranteed shape that the job claims.
+    /// Guaranteed shape that the job claims; absent when it borrows or holds free capacity.
     pub claim: Option<Claim>,
-    /// When the leader decided it.
+    /// Time of the leader's decision.
     pub at: TimestampMs,
 }
 
-/// Some consecutive tasks of a gang on one worker.
+/// Consecutive tasks of a gang on one worker.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct WorkerTasks {
-    /// The worker.
+    /// Name of the worker.
     pub worker: WorkerName,
-    /// How many tasks it runs.
+    /// Number of tasks on this worker.
     pub task_count: u32,
 }
 
-/// The use of one guaranteed shape.
+/// Claim of one guaranteed shape by a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The guarantee.
+    /// Name of the guarantee.
     pub guarantee: RecordName,
-    /// Which of its shapes, from 0.
+    /// Index of the shape within the guarantee, from 0.
     pub instance: u32,
-    /// Where the shape is bound from now on; empty leaves it where it is.
+    /// New binding of the shape; empty keeps the current one.
     pub binding: Vec<WorkerTasks>,
 }
 
-/// Why an attempt is stopped.
+/// Reason for which an attempt is stopped.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum StopReason {
     /// The caller cancelled the job.
     Cancelled,
     /// A guarantee needs the capacity.
     Reclaimed,
-    /// A larger job needs the place and this one can go on elsewhere.
+    /// The job is moved to other workers, to make capacity usable for larger jobs.
     Moved,
     /// A checkpoint was not confirmed in time.
     CheckpointOverdue,
@@ -180,7 +181,7 @@
     PrepareOverdue,
     /// A task failed on this worker.
     TaskFailed(WorkerName),
-    /// A task ended on this worker without success and without being told to.
+    /// A task ended on this worker without success and without a command.
     TaskLost(WorkerName),
     /// This worker no longer reports a task that it held.
     TaskMissing(WorkerName),
@@ -188,25 +189,25 @@
     RanUnasked(WorkerName),
 }
 
-/// How a task ended.
+/// Outcome of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum TaskOutcome {
-    /// It did its work.
+    /// The task completed its work.
     Succeeded,
-    /// It ended with an error.
+    /// The task ended with an error.
     Failed,
-    /// It saved its progress and ended.
+    /// The task saved its progress and ended.
     Checkpointed,
-    /// It was stopped.
+    /// The task was stopped before it completed its work.
     Stopped,
-    /// Its worker is gone and its lease has ended.
+    /// The lease of the worker has ended without a report of the task.
     Lost,
 }
 
-/// What a command changed, for logs, metrics and callers that wait.
+/// Effect of a command, for logs, metrics and waiting callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseEvent {
-    /// A job waits to run.
+    /// A job was accepted and waits to run.
     JobAccepted(JobName),
     /// A job was refused at submission.
     JobRefused(JobName, JobRefusal),
@@ -214,28 +215,28 @@
     GuaranteeAccepted(RecordName),
     /// A guarantee was refused.
     GuaranteeRefused(RecordName, GuaranteeRefusal),
-    /// Lost capacity leaves guaranteed shapes without a place.
+    /// A shape of a guarantee has no binding, because capacity was lost.
     GuaranteeUnbacked(RecordName),
-    /// An attempt was placed.
+    /// An attempt was placed on its workers.
     AttemptBegan(JobName, FencingEpoch),
-    /// A placement was out of date and changed nothing.
+    /// A placement was outdated and had no effect.
     AttemptRefused(JobName, FencingEpoch),
-    /// All workers were told to start.
+    /// All tasks are prepared and the attempt was started.
     AttemptStarted(JobName, FencingEpoch),
-    /// An attempt is being taken off its workers.
+    /// An attempt is being evicted from its workers or stopped.
     AttemptStopping(JobName, FencingEpoch, StopReason),
-    /// An attempt has released everything.
+    /// An attempt has released all of its capacity.
     AttemptReleased(JobName, FencingEpoch),
-    /// A job waits again.
+    /// A job was put back into the queue.
     JobRequeued(JobName),
     /// A job reached its final status.
     JobFinished(JobName),
-    /// A worker joined or came back.
+    /// A worker was registered for the first time or after its loss.
     WorkerRegistered(WorkerName),
-    /// A worker's lease ended.
+    /// The lease and clock margin of a worker ended.
     WorkerLost(WorkerName),
-    /// A worker fails every job and gets no more work for now.
+    /// A worker was quarantined after failures of different jobs with no success between them.
     WorkerQuarantined(WorkerName),
-    /// A quarantined worker ran a job successfully.
+    /// A quarantined worker returned to service, after a success or on probation.
     WorkerRestored(WorkerName),
 }
--- a/crates/yuccatack_leases/src/probe.rs
+++ b/crates/yuccatack_leases/src/probe.rs
@@ -4,14 +4,14 @@
 use yuccatack_placement::{Assignment, WorkerIndex};
 
 use crate::message::LeaseCommand;
-use crate::scheduling_pass::{MAX_SCANNED, SchedulingPass};
+use crate::scheduling_pass::{MAX_SCANNED_JOBS, SchedulingPass};
 use crate::worker::WorkerHealth;
 
-/// A quarantined worker that no waiting job can probe serves again after this time.
-const PROBATION_AFTER: DurationMs = DurationMs::from_seconds(60);
+/// Time after which a quarantined worker that no waiting job can probe returns to service.
+const PROBATION_DELAY: DurationMs = DurationMs::from_seconds(60);
 
 impl<'a> SchedulingPass<'a> {
-    /// Gives each quarantined worker whose wait is over one small job that may be repeated.
+    /// Places one small idempotent job on each quarantined worker whose probe is due.
     pub(crate) fn probe_quarantined(&mut self) {
         let table = self.table;
         for name in &table.quarantined {
@@ -21,7 +21,7 @@
                 continue;
             }
             let probed = self.probe(worker.index, &worker.resources);
-            if !probed && self.now.since(probe_at) >= PROBATION_AFTER {
+            if !probed && self.now.since(probe_at) >= PROBATION_DELAY {
                 let worker = name.clone();
                 self.commands.push(LeaseCommand::ReleaseOnProbation { worker, at: self.now });
             }
@@ -40,7 +40,7 @@
             })
         };
         let heads = table.waiting.values().flat_map(|waiting| {
-            classes.iter().flat_map(|class| waiting.class(*class).take(MAX_SCANNED))
+            classes.iter().flat_map(|class| waiting.class(*class).take(MAX_SCANNED_JOBS))
         });
         let Some(name) = heads.map(|(_, job)| job).find(suitable) else { return false };
         let Some(job) = table.jobs.get(name) else { return false };
--- a/crates/yuccatack_leases/src/reservation.rs
+++ b/crates/yuccatack_leases/src/reservation.rs
@@ -1,4 +1,4 @@
-//! The reservation for the oldest starved job.
+//! Capacity reservation for the oldest starved job.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{Reservation, WorkerIndex, slot_count};
@@ -6,14 +6,14 @@
 use crate::job::JobEntry;
 use crate::table::LeaseTable;
 
-/// A job that waits this long although its quota allows it holds a reservation.
-pub(crate) const STARVED_AFTER: DurationMs = DurationMs::from_seconds(120);
-/// For a job that waits this long, others are moved if that makes room.
-pub(crate) const DEFRAGMENT_AFTER: DurationMs = DurationMs::from_seconds(5);
-/// Backfilled jobs must be expected to end in time with this probability.
+/// Waiting time after which a job that its quota allows gets a reservation.
+pub(crate) const STARVATION_THRESHOLD: DurationMs = DurationMs::from_seconds(120);
+/// Waiting time after which other jobs are moved, if that frees capacity for the job.
+pub(crate) const DEFRAGMENTATION_THRESHOLD: DurationMs = DurationMs::from_seconds(5);
+/// Quantile of the run time by which a backfilled job must end before the reservation starts.
 pub(crate) const BACKFILL_QUANTILE: f32 = 0.8;
 
-/// The job that others may not delay, and the capacity it waits for.
+/// Job that others may not delay, with the capacity reserved for it.
 #[derive(Clone, Debug)]
 pub(crate) struct StarvedJob {
     pub(crate) job: JobName,
@@ -32,16 +32,17 @@
 }
 
 impl LeaseTable {
-    /// The time that a job still needs, corrected by what its organisation's jobs took.
+    /// Returns the remaining run time of a job, corrected by the run times of earlier jobs of its
+    /// organisation.
     pub(crate) fn expected_run_time(&self, job: &JobEntry, quantile: f32) -> DurationMs {
         let declared = DurationMs::from_seconds(job.spec.declared_run_time_s);
         let estimate = self.organisations.get(&job.spec.organisation).map(|entry| &entry.estimate);
-        let whole = estimate.map_or(declared, |estimate| estimate.corrected(declared, quantile));
-        DurationMs::new(whole.get().saturating_sub(job.saved_run_time_ms))
+        let total = estimate.map_or(declared, |estimate| estimate.corrected(declared, quantile));
+        DurationMs::new(total.get().saturating_sub(job.saved_run_time_ms))
     }
 
-    /// When the job's attempt is expected to end. A job that overran its expectation is taken to
-    /// need a fifth of its run time again.
+    /// Returns the time at which the attempt of the job is expected to end. A job that overran its
+    /// expectation is assumed to need another fifth of its run time so far, plus one second.
     pub(crate) fn expected_end(&self, job: &JobEntry, now: TimestampMs) -> TimestampMs {
         let start = job.attempt().and_then(|attempt| attempt.started_at).unwrap_or(now);
         let end = start + self.expected_run_time(job, BACKFILL_QUANTILE);
@@ -49,7 +50,7 @@
     }
 }
 
-/// The domain where the job's gang is expected to fit first.
+/// Reserves the domain in which the gang of the job is expected to fit first.
 fn reserve(table: &LeaseTable, job: &JobEntry, now: TimestampMs) -> Option<Reservation> {
     let shape = &job.spec.shape;
     table
@@ -67,7 +68,7 @@
     now: TimestampMs,
 ) -> Option<Reservation> {
     let mut free: FastHashMap<WorkerIndex, Resources> = FastHashMap::default();
-    let mut ends: Vec<(TimestampMs, WorkerIndex, Resources)> = Vec::new();
+    let mut expected_ends: Vec<(TimestampMs, WorkerIndex, Resources)> = Vec::new();
     let mut slots = 0;
     for worker in workers {
         let cell = table.cluster.worker(*worker)?;
@@ -75,12 +76,12 @@
         slots += slot_count(&cell.free(), &shape.task);
         let Some(entry) = table.worker_at(*worker) else { continue };
         for (_, job) in table.tasks_on(entry) {
-            ends.push((table.expected_end(job, now), *worker, job.spec.shape.task));
+            expected_ends.push((table.expected_end(job, now), *worker, job.spec.shape.task));
         }
     }
-    ends.sort_by_key(|(end, worker, _)| (*end, *worker));
+    expected_ends.sort_by_key(|(end, worker, _)| (*end, *worker));
     let mut start_at = now;
-    for (end, worker, amount) in ends {
+    for (end, worker, amount) in expected_ends {
         if slots >= shape.task_count {
             break;
         }
--- a/crates/yuccatack_leases/src/scheduler.rs
+++ b/crates/yuccatack_leases/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The leader's memory of workers: leases and heartbeats.
+//! Leases and heartbeats of workers, as tracked by the leader.
 
 use std::collections::BTreeSet;
 
@@ -17,45 +17,47 @@
 use crate::{CLOCK_MARGIN, LEASE_DURATION};
 
 #[derive(Clone, Debug)]
-struct WorkerMemory {
+struct WorkerSession {
     incarnation: Incarnation,
     registration_number: u64,
     sequence: u64,
     lease_end: TimestampMs,
-    /// Set once the loss was proposed: no lease is granted until the loss is in force, because
-    /// the log may already hold it.
-    condemned: bool,
+    /// `true` once the loss was proposed. No lease is granted until the loss is applied, because
+    /// the log may already contain it.
+    loss_proposed: bool,
     reported: FastHashMap<TaskReference, ReportedState>,
 }
 
-/// What the leader knows and does not replicate. A new leader starts with [`Scheduler::new`].
+/// Scheduling state of the leader that is not replicated. A new leader starts with
+/// [`Scheduler::new`].
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     started_at: TimestampMs,
-    workers: FastHashMap<WorkerName, WorkerMemory>,
+    workers: FastHashMap<WorkerName, WorkerSession>,
     lease_ends: BTreeSet<(TimestampMs, WorkerName)>,
-    grace_over: bool,
+    grace_period_over: bool,
     pub(crate) starved: Option<StarvedJob>,
     pub(crate) strategy: Strategy,
-    /// The last search for moves.
+    /// Time of the last search for moves.
     pub(crate) defragmented_at: TimestampMs,
-    /// Where the next search for a worker to empty starts.
+    /// Position among the active jobs at which the next consolidation starts.
     pub(crate) consolidation_cursor: usize,
-    /// Accelerators placed lately by shape; recent decisions count most.
+    /// Weight of recent demand by shape; recent placements count most.
     pub(crate) demand: Vec<(Shape, f64)>,
 }
 
 impl Scheduler {
-    /// The memory of a leader that starts at `now`. Until one lease and margin later it treats no
-    /// silent worker as lost, because its predecessor may have granted a lease just before.
+    /// Creates the state of a leader whose leadership starts at `now`. For one lease and clock
+    /// margin it treats no worker as lost, because its predecessor may have granted a lease just
+    /// before.
     ///
-    /// Call it only after every entry of earlier terms is applied.
+    /// Call it only after every log entry of earlier terms is applied.
     pub fn new(now: TimestampMs) -> Self {
         Self {
             started_at: now,
             workers: FastHashMap::default(),
             lease_ends: BTreeSet::new(),
-            grace_over: false,
+            grace_period_over: false,
             starved: None,
             strategy: Strategy::Policy,
             defragmented_at: now,
@@ -64,13 +66,15 @@
         }
     }
 
-    /// Whether `worker` holds a lease.
+    /// Returns `true` if `worker` holds a lease at `now`.
     pub fn has_lease(&self, worker: &WorkerName, now: TimestampMs) -> bool {
-        self.workers.get(worker).is_some_and(|memory| !memory.condemned && memory.lease_end > now)
+        self.workers
+            .get(worker)
+            .is_some_and(|session| !session.loss_proposed && session.lease_end > now)
     }
 
-    /// Handles a heartbeat. Send the reply only while the leadership is confirmed, at most
-    /// [`CLOCK_MARGIN`] after `now`; propose the commands.
+    /// Handles a heartbeat and returns the reply with the commands to propose. Send the reply only
+    /// while the leadership is confirmed and at most [`CLOCK_MARGIN`] after `now`.
     pub fn heartbeat(
         &mut self,
         table: &LeaseTable,
@@ -78,7 +82,7 @@
         now: TimestampMs,
     ) -> (HeartbeatReply, Vec<LeaseCommand>) {
         let sequence = report.sequence;
-        let silent = HeartbeatReply {
+        let no_lease = HeartbeatReply {
             sequence,
             lease: None,
             commands: Vec::new(),
@@ -86,67 +90,67 @@
         };
         let registration = &report.registration;
         let name = registration.worker.clone();
-        if let Some(memory) = self.workers.get(&name)
-            && memory.incarnation == registration.incarnation
-            && memory.sequence >= sequence
+        if let Some(session) = self.workers.get(&name)
+            && session.incarnation == registration.incarnation
+            && session.sequence >= sequence
         {
-            return (silent, Vec::new());
+            return (no_lease, Vec::new());
         }
         let entry = match table.workers.get(&name) {
             Some(entry) if !matches!(entry.health, WorkerHealth::Lost { .. }) => entry,
             _ => {
                 let worker = registration.clone();
-                return (silent, vec![LeaseCommand::RegisterWorker { worker, at: now }]);
+                return (no_lease, vec![LeaseCommand::RegisterWorker { worker, at: now }]);
             }
         };
-        // A changed worker waits until the lease of its former registration has ended.
+        // A changed worker gets no lease until the lease of its former registration has ended.
         if entry.incarnation != registration.incarnation
             || entry.resources != registration.resources
         {
-            return (silent, Vec::new());
+            return (no_lease, Vec::new());
         }
         let registration_number = entry.registration_number;
-        let condemned = self.workers.get(&name).is_some_and(|memory| {
-            memory.condemned && memory.registration_number == registration_number
+        let loss_proposed = self.workers.get(&name).is_some_and(|session| {
+            session.loss_proposed && session.registration_number == registration_number
         });
-        if condemned {
+        if loss_proposed {
             let worker = name.clone();
             let loss = LeaseCommand::LoseWorker { worker, registration_number, at: now };
-            return (silent, vec![loss]);
+            return (no_lease, vec![loss]);
         }
         let reported = report.tasks.iter().map(|task| (task.task.clone(), task.state)).collect();
         let lease_end = now + LEASE_DURATION;
-        let memory = WorkerMemory {
+        let session = WorkerSession {
             incarnation: registration.incarnation,
             registration_number,
             sequence,
             lease_end,
-            condemned: false,
+            loss_proposed: false,
             reported,
         };
-        if let Some(former) = self.workers.insert(name.clone(), memory) {
+        if let Some(former) = self.workers.insert(name.clone(), session) {
             self.lease_ends.remove(&(former.lease_end, name.clone()));
         }
         self.lease_ends.insert((lease_end, name.clone()));
-        let proposals = self.follow_report(table, &report, now);
-        let mut reply = HeartbeatReply { lease: Some(LEASE_DURATION), ..silent };
+        let proposals = self.proposals_for_report(table, &report, now);
+        let mut reply = HeartbeatReply { lease: Some(LEASE_DURATION), ..no_lease };
         reply.commands = self.commands_for(table, &name);
-        reply.acknowledged = acknowledged(table, &report);
+        reply.acknowledged = acknowledged_tasks(table, &report);
         (reply, proposals)
     }
 
-    /// What `worker` has to do now. Empty while it holds no lease.
+    /// Returns the commands that `worker` has to carry out. Empty while it holds no lease.
     pub fn commands_for(&self, table: &LeaseTable, worker: &WorkerName) -> Vec<WorkerCommand> {
-        let Some(memory) = self.workers.get(worker) else { return Vec::new() };
+        let Some(session) = self.workers.get(worker) else { return Vec::new() };
         let Some(entry) = table.workers.get(worker) else { return Vec::new() };
-        if memory.condemned || memory.registration_number != entry.registration_number {
+        if session.loss_proposed || session.registration_number != entry.registration_number {
             return Vec::new();
         }
-        let stale = memory.reported.iter().filter(|(task, state)| {
+        let stale = session.reported.iter().filter(|(task, state)| {
             matches!(state, ReportedState::Prepared | ReportedState::Running)
                 && !is_held(table, entry, task)
         });
-        // These come first, because a task below may get the accelerators they hold.
+        // Stops come first, because a task below may be assigned the accelerators that they free.
         let stop = |(task, _): (&TaskReference, _)| WorkerCommand {
             task: task.clone(),
             kind: CommandKind::Stop,
@@ -157,7 +161,7 @@
             let Some(attempt) = job.attempt() else { continue };
             let task =
                 TaskReference { job: key.job.clone(), epoch: attempt.epoch, index: key.index };
-            let reported = memory.reported.get(&task).copied();
+            let reported = session.reported.get(&task).copied();
             let slot = &attempt.tasks[key.index as usize];
             let kind = match (&attempt.phase, slot.state, reported) {
                 (_, TaskState::Booked | TaskState::Ended(_), _) => None,
@@ -190,8 +194,8 @@
         commands
     }
 
-    /// The commands that the states in a heartbeat lead to.
-    fn follow_report(
+    /// Returns the commands that follow from the task states in a heartbeat.
+    fn proposals_for_report(
         &self,
         table: &LeaseTable,
         report: &HeartbeatReport,
@@ -236,20 +240,20 @@
         for ((job, epoch), indexes) in prepared {
             proposals.push(LeaseCommand::ConfirmPrepared { job, epoch, indexes, at });
         }
-        proposals.extend(self.missing_tasks(table, entry, name, at));
+        proposals.extend(self.proposals_for_missing_tasks(table, entry, name, at));
         proposals
     }
 
-    /// Stops attempts of which the worker has forgotten a task. The capacity is released when the
-    /// worker confirms the stop, so an outdated report releases nothing.
-    fn missing_tasks(
+    /// Proposes to stop attempts of which the worker no longer reports a task. The capacity is
+    /// released when the worker confirms the stop, so an outdated report releases nothing.
+    fn proposals_for_missing_tasks(
         &self,
         table: &LeaseTable,
         entry: &WorkerEntry,
         name: &WorkerName,
         at: TimestampMs,
     ) -> Vec<LeaseCommand> {
-        let Some(memory) = self.workers.get(name) else { return Vec::new() };
+        let Some(session) = self.workers.get(name) else { return Vec::new() };
         let mut proposals = Vec::new();
         for (TaskKey { job, index }, job_entry) in table.tasks_on(entry) {
             let Some(attempt) = job_entry.attempt() else { continue };
@@ -257,7 +261,7 @@
             let reference = TaskReference { job: job.clone(), epoch, index: *index };
             let held = attempt.tasks[*index as usize].state == TaskState::Prepared;
             let ending = matches!(attempt.phase, AttemptPhase::Stopping(_));
-            if held && !ending && !memory.reported.contains_key(&reference) {
+            if held && !ending && !session.reported.contains_key(&reference) {
                 let reason = StopReason::TaskMissing(name.clone());
                 proposals.push(LeaseCommand::StopAttempt { job: job.clone(), epoch, reason, at });
             }
@@ -265,8 +269,8 @@
         proposals
     }
 
-    /// Proposes the loss of workers whose lease and margin have ended.
-    pub(crate) fn lose_silent(
+    /// Proposes the loss of workers whose lease and clock margin have ended.
+    pub(crate) fn expire_workers(
         &mut self,
         table: &LeaseTable,
         now: TimestampMs,
@@ -276,21 +280,21 @@
         if now < grace_end {
             return lost;
         }
-        if !self.grace_over {
-            self.grace_over = true;
+        if !self.grace_period_over {
+            self.grace_period_over = true;
             for (name, entry) in &table.workers {
-                let silent = !self.workers.contains_key(name);
-                if silent && !matches!(entry.health, WorkerHealth::Lost { .. }) {
-                    let memory = WorkerMemory {
+                let unseen = !self.workers.contains_key(name);
+                if unseen && !matches!(entry.health, WorkerHealth::Lost { .. }) {
+                    let session = WorkerSession {
                         incarnation: entry.incarnation,
                         registration_number: entry.registration_number,
                         sequence: 0,
                         lease_end: self.started_at + LEASE_DURATION,
-                        condemned: false,
+                        loss_proposed: false,
                         reported: FastHashMap::default(),
                     };
-                    self.lease_ends.insert((memory.lease_end, name.clone()));
-                    self.workers.insert(name.clone(), memory);
+                    self.lease_ends.insert((session.lease_end, name.clone()));
+                    self.workers.insert(name.clone(), session);
                 }
             }
         }
@@ -299,9 +303,9 @@
                 break;
             }
             self.lease_ends.pop_first();
-            if let Some(memory) = self.workers.get_mut(&name) {
-                memory.condemned = true;
-                let registration_number = memory.registration_number;
+            if let Some(session) = self.workers.get_mut(&name) {
+                session.loss_proposed = true;
+                let registration_number = session.registration_number;
                 let worker = name;
                 lost.push(LeaseCommand::LoseWorker { worker, registration_number, at: now });
             }
@@ -309,11 +313,11 @@
         lost
     }
 
-    /// When [`Scheduler::schedule`] must run next even if nothing happens before.
+    /// Returns the time at which [`Scheduler::schedule`] must run next, even without a change.
     pub fn next_deadline(&self, table: &LeaseTable, now: TimestampMs) -> TimestampMs {
         let grace_end = self.started_at + LEASE_DURATION + CLOCK_MARGIN;
         let mut next = now + LEASE_DURATION;
-        if !self.grace_over {
+        if !self.grace_period_over {
             next = next.min(grace_end);
         }
         if let Some((lease_end, _)) = self.lease_ends.first() {
@@ -330,7 +334,7 @@
     (0..u64::BITS).filter(|position| mask >> position & 1 == 1).collect()
 }
 
-/// Whether the table has this task on this worker under this epoch.
+/// Returns `true` if the table assigns this task to this worker under this epoch.
 fn is_held(table: &LeaseTable, worker: &WorkerEntry, task: &TaskReference) -> bool {
     let Some(attempt) = table.jobs.get(&task.job).and_then(|job| job.attempt()) else {
         return false;
@@ -339,7 +343,7 @@
     attempt.epoch == task.epoch && slot.worker == worker.index && !slot.state.is_ended()
 }
 
-fn acknowledged(table: &LeaseTable, report: &HeartbeatReport) -> Vec<TaskReference> {
+fn acknowledged_tasks(table: &LeaseTable, report: &HeartbeatReport) -> Vec<TaskReference> {
     let Some(entry) = table.workers.get(&report.registration.worker) else { return Vec::new() };
     let ended = |task: &&ReportedTask| {
         !matches!(task.state, ReportedState::Prepared | ReportedState::Running)
--- a/crates/yuccatack_leases/src/scheduling_pass.rs
+++ b/crates/yuccatack_leases/src/scheduling_pass.rs
@@ -1,4 +1,4 @@
-//! The leader's decisions: deadlines, starts and placements.
+//! Decisions of the leader: losses, deadlines, starts and placements.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{
@@ -6,73 +6,76 @@
     WorkerIndex, best_fit, first_fit, place,
 };
 
-use crate::demand::{difficulty, profile};
+use crate::demand::{demand_weight, profile};
 use crate::job::{AttemptPhase, JobEntry};
 use crate::message::{BeginAttempt, Claim, LeaseCommand, StopReason, WorkerTasks};
-use crate::reservation::{BACKFILL_QUANTILE, DEFRAGMENT_AFTER, STARVED_AFTER, StarvedJob};
+use crate::reservation::{
+    BACKFILL_QUANTILE, DEFRAGMENTATION_THRESHOLD, STARVATION_THRESHOLD, StarvedJob,
+};
 use crate::scheduler::Scheduler;
 use crate::table::{GuaranteeEntry, LeaseTable};
 
-/// Decisions of one call. They are in force only after the log has them; a bound keeps the
+/// Most decisions of one call. Decisions take effect only once they are logged; the bound keeps the
 /// overlay small and lets urgent jobs that arrive meanwhile go first in the next call.
 const MAX_DECISIONS: usize = 64;
-/// One decision's share in the memory of demand halves after about 350 further decisions.
+/// Factor applied to the recorded demand at each placement; the weight of a placement halves after
+/// about 350 further ones.
 const DEMAND_DECAY: f64 = 0.998;
-/// Shapes that weigh less than this are forgotten.
-const LEAST_DEMAND: f64 = 0.5;
-/// Jobs of one queue that are looked at in one call.
-pub(crate) const MAX_SCANNED: usize = 128;
-/// Searches of one call, successful or not.
+/// Weight below which a shape is removed from the recorded demand.
+const MIN_DEMAND_WEIGHT: f64 = 0.5;
+/// Most jobs of one queue that are considered in one call.
+pub(crate) const MAX_SCANNED_JOBS: usize = 128;
+/// Most placement searches of one call, successful or not.
 const MAX_SEARCHES: usize = 256;
-/// A batch job that waited this long is treated like a standard one.
-const AGING_LIMIT: DurationMs = DurationMs::from_seconds(30 * 60);
+/// Waiting time after which a batch job is treated as a standard one.
+const BATCH_AGING_THRESHOLD: DurationMs = DurationMs::from_seconds(30 * 60);
 
-/// How waiting jobs are placed.
+/// Placement strategy for waiting jobs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Strategy {
-    /// Classes, fair share, claims, backfill and the weighted score.
+    /// Priority classes, fair share, claims, backfill and the weighted score.
     #[default]
     Policy,
-    /// Baseline: in arrival order, the first place that fits.
+    /// Baseline: in order of arrival, on the first domain with enough capacity.
     FirstFit,
-    /// Baseline: in arrival order, the place with the least free capacity that fits.
+    /// Baseline: in order of arrival, on the domain with the least free capacity that suffices.
     BestFit,
 }
 
 impl Scheduler {
-    /// Chooses how waiting jobs are placed; the baselines are for comparison only.
+    /// Sets the placement strategy; the baselines are for comparison only.
     pub fn with_strategy(mut self, strategy: Strategy) -> Self {
         self.strategy = strategy;
         self
     }
 
-    /// What the leader decides at `now`. Call it again once the commands are applied, after each
-    /// change of the table, and at [`Scheduler::next_deadline`].
+    /// Returns the commands that the leader proposes at `now`. Call it again once they are applied,
+    /// after each change of the table, and at [`Scheduler::next_deadline`].
     pub fn schedule(&mut self, table: &LeaseTable, now: TimestampMs) -> Vec<LeaseCommand> {
-        let mut commands = self.lose_silent(table, now);
-        commands.extend(overdue(table, now));
-        commands.extend(self.starts(table, now));
+        let mut commands = self.expire_workers(table, now);
+        commands.extend(stop_overdue_attempts(table, now));
+        commands.extend(self.start_ready_attempts(table, now));
         let mut pass = SchedulingPass::new(table, now, &self.demand);
         pass.run(self);
         for command in &pass.commands {
             if let LeaseCommand::BeginAttempt(begin) = command
                 && let Some(job) = table.jobs.get(&begin.job)
             {
-                self.remember_demand(&job.spec.shape);
+                self.record_demand(&job.spec.shape);
             }
         }
         commands.extend(pass.commands);
         commands
     }
 
-    /// Remembers what is asked for; a shape that is asked for no more fades.
-    /// The share of free accelerators that cannot serve the shapes in demand.
+    /// Returns the share of free accelerators that cannot serve the shapes in demand, from 0 to 1.
     pub fn fragmentation(&self, table: &LeaseTable) -> f64 {
         yuccatack_placement::fragmentation(&table.cluster, &profile(table, &self.demand))
     }
 
-    fn remember_demand(&mut self, shape: &Shape) {
-        let weight = difficulty(shape);
+    /// Adds a placed shape to the recorded demand; shapes that are no longer placed decay.
+    fn record_demand(&mut self, shape: &Shape) {
+        let weight = demand_weight(shape);
         for (_, known) in &mut self.demand {
             *known *= DEMAND_DECAY;
         }
@@ -80,17 +83,17 @@
             Some((_, known)) => *known += weight,
             None => self.demand.push((*shape, weight)),
         }
-        self.demand.retain(|(_, known)| *known > LEAST_DEMAND);
+        self.demand.retain(|(_, known)| *known > MIN_DEMAND_WEIGHT);
     }
 
-    fn starts(&self, table: &LeaseTable, now: TimestampMs) -> Vec<LeaseCommand> {
+    fn start_ready_attempts(&self, table: &LeaseTable, now: TimestampMs) -> Vec<LeaseCommand> {
         let mut commands = Vec::new();
         for name in &table.ready {
             let Some(attempt) = table.jobs.get(name).and_then(JobEntry::attempt) else { continue };
             let live = |worker: WorkerIndex| {
                 table.worker_name(worker).is_some_and(|name| self.has_lease(&name, now))
             };
-            // A gang with a silent worker would start in part.
+            // A gang with a worker that holds no lease would start only in part.
             if attempt.tasks.iter().all(|slot| live(slot.worker)) {
                 let (job, epoch) = (name.clone(), attempt.epoch);
                 commands.push(LeaseCommand::StartAttempt { job, epoch, at: now });
@@ -100,7 +103,7 @@
     }
 }
 
-fn overdue(table: &LeaseTable, now: TimestampMs) -> Vec<LeaseCommand> {
+fn stop_overdue_attempts(table: &LeaseTable, now: TimestampMs) -> Vec<LeaseCommand> {
     let mut commands = Vec::new();
     for (deadline, job) in &table.deadlines {
         if *deadline > now {
@@ -117,7 +120,7 @@
     commands
 }
 
-/// One round of placements over an overlay of its own decisions.
+/// One round of placements, over an overlay of the decisions made so far.
 pub(crate) struct SchedulingPass<'a> {
     pub(crate) table: &'a LeaseTable,
     pub(crate) now: TimestampMs,
@@ -187,7 +190,7 @@
         }
     }
 
-    /// The baselines: every waiting job that fits starts, the oldest first.
+    /// Places every waiting job that fits, oldest first, as the baselines do.
     fn place_in_arrival_order(&mut self, find: FindPlace) {
         let table = self.table;
         let mut jobs: Vec<&'a (TimestampMs, JobName)> = table
@@ -198,7 +201,7 @@
         jobs.sort();
         for (_, name) in jobs {
             let Some(job) = table.jobs.get(name) else { continue };
-            if self.decided.contains(name) || !job.may_start_again() || !self.within_quota(job) {
+            if self.decided.contains(name) || !job.may_restart() || !self.within_quota(job) {
                 continue;
             }
             let key = (job.spec.shape, false, false);
@@ -216,25 +219,28 @@
         self.commands.len() >= MAX_DECISIONS || self.search_count >= MAX_SEARCHES
     }
 
-    /// Jobs that count as `class`, oldest first.
+    /// Returns the waiting jobs that count as `class` after aging, oldest first.
     fn queue(&self, organisation: &OrganisationName, class: PriorityClass) -> Vec<&'a JobName> {
         let Some(waiting) = self.table.waiting.get(organisation) else { return Vec::new() };
-        let aged = |at: TimestampMs| self.now.since(at) >= AGING_LIMIT;
+        let aged = |at: TimestampMs| self.now.since(at) >= BATCH_AGING_THRESHOLD;
         let own = waiting.class(class);
         let jobs: Vec<&(TimestampMs, JobName)> = match class {
-            PriorityClass::Urgent => own.take(MAX_SCANNED).collect(),
+            PriorityClass::Urgent => own.take(MAX_SCANNED_JOBS).collect(),
             PriorityClass::Standard => {
                 let old = waiting.class(PriorityClass::Batch).take_while(|(at, _)| aged(*at));
-                let mut jobs: Vec<_> = old.take(MAX_SCANNED).chain(own.take(MAX_SCANNED)).collect();
+                let mut jobs: Vec<_> =
+                    old.take(MAX_SCANNED_JOBS).chain(own.take(MAX_SCANNED_JOBS)).collect();
                 jobs.sort();
                 jobs
             }
-            PriorityClass::Batch => own.skip_while(|(at, _)| aged(*at)).take(MAX_SCANNED).collect(),
+            PriorityClass::Batch => {
+                own.skip_while(|(at, _)| aged(*at)).take(MAX_SCANNED_JOBS).collect()
+            }
         };
         jobs.into_iter().map(|(_, job)| job).collect()
     }
 
-    /// Places jobs of one class; the organisation with the smallest weighted share goes first.
+    /// Places the jobs of one class; the organisation with the smallest weighted share goes first.
     fn place_class(&mut self, class: PriorityClass) {
         let table = self.table;
         let mut queues: Vec<Queue<'a>> = table
@@ -249,13 +255,13 @@
             .collect();
         while !self.is_full() {
             let share = |queue: &Queue<'a>| self.share(queue.organisation);
-            let least = queues
+            let next_queue = queues
                 .iter()
                 .enumerate()
                 .filter(|(_, queue)| queue.next < queue.jobs.len())
                 .min_by(|(_, left), (_, right)| share(left).total_cmp(&share(right)))
                 .map(|(position, _)| position);
-            let Some(position) = least else { break };
+            let Some(position) = next_queue else { break };
             let queue = &mut queues[position];
             let job = queue.jobs[queue.next];
             queue.next += 1;
@@ -282,7 +288,8 @@
         self.table.quota_of(&job.spec.organisation).is_none_or(|quota| held <= u64::from(quota))
     }
 
-    /// The oldest waiting job of each queue is its head, so only heads can be the oldest.
+    /// Places the oldest waiting job, or frees or reserves capacity for it. The oldest job is the
+    /// head of a queue, so only heads are considered.
     fn place_starved(&mut self, scheduler: &mut Scheduler) {
         let table = self.table;
         let classes = [PriorityClass::Standard, PriorityClass::Batch];
@@ -290,7 +297,7 @@
             .waiting
             .values()
             .flat_map(|waiting| classes.iter().filter_map(|class| waiting.class(*class).next()))
-            .filter(|(at, _)| self.now.since(*at) >= DEFRAGMENT_AFTER)
+            .filter(|(at, _)| self.now.since(*at) >= DEFRAGMENTATION_THRESHOLD)
             .filter(|(_, job)| table.jobs.get(job).is_some_and(|job| self.within_quota(job)))
             .min();
         let Some((at, job)) = oldest else {
@@ -301,18 +308,18 @@
             scheduler.starved = None;
             return;
         }
-        let starved = self.now.since(*at) >= STARVED_AFTER;
-        if self.may_search_room(scheduler) {
-            // Both searches visit many tasks, so they run at most once in a pause.
-            let held = StarvedJob::new(table, job, self.now);
-            if !self.make_room(scheduler, job, starved, held.as_ref()) {
-                scheduler.starved = held.filter(|_| starved);
+        let starved = self.now.since(*at) >= STARVATION_THRESHOLD;
+        if self.may_search_moves(scheduler) {
+            // Both searches visit many tasks, so they run at most once in an interval.
+            let candidate = StarvedJob::new(table, job, self.now);
+            if !self.free_capacity_for(scheduler, job, starved, candidate.as_ref()) {
+                scheduler.starved = candidate.filter(|_| starved);
             }
-        } else if scheduler.starved.as_ref().is_some_and(|held| held.job != *job) {
+        } else if scheduler.starved.as_ref().is_some_and(|former| former.job != *job) {
             scheduler.starved = None;
         }
-        self.reservation = scheduler.starved.as_ref().map(|held| held.reservation.clone());
-        // The failure above was found without the reservation; keys include its effect.
+        self.reservation = scheduler.starved.as_ref().map(|holder| holder.reservation.clone());
+        // The search above ran without the reservation, and cached failures depend on it.
         self.failed.clear();
     }
 
@@ -321,7 +328,7 @@
         let Some(job) = table.jobs.get(name) else { return false };
         if self.is_full()
             || self.decided.contains(name)
-            || !job.may_start_again()
+            || !job.may_restart()
             || !self.within_quota(job)
         {
             return false;
@@ -331,7 +338,7 @@
             .iter()
             .filter_map(|(worker, _)| table.cluster.worker_index(worker))
             .collect();
-        if let Some((placement, claim)) = self.claim_free(job) {
+        if let Some((placement, claim)) = self.claim_without_reclaim(job) {
             self.decide(name, job, placement, Some(claim));
             return true;
         }
@@ -339,7 +346,7 @@
             self.decide(name, job, placement.assignments, None);
             return true;
         }
-        if let Some((placement, claim)) = self.claim_reclaim(job) {
+        if let Some((placement, claim)) = self.claim_with_reclaim(job) {
             self.decide(name, job, placement, Some(claim));
             return true;
         }
@@ -389,7 +396,7 @@
         found
     }
 
-    pub(crate) fn named<Parts>(&self, parts: Parts) -> Vec<WorkerTasks>
+    pub(crate) fn with_worker_names<Parts>(&self, parts: Parts) -> Vec<WorkerTasks>
     where
         Parts: Iterator<Item = (WorkerIndex, u32)>,
     {
@@ -419,8 +426,8 @@
         {
             self.claimed.insert((guarantee, claim.instance));
             let task = entry.spec.shape.task;
-            // A moved binding counts as firm at its new place; the old place stays set aside in
-            // this pass, which is safe and ends with it.
+            // A moved binding counts as firm on its new workers. The old workers stay reserved
+            // until the end of this pass, which is conservative.
             for part in &claim.binding {
                 let worker = self.table.cluster.worker_index(&part.worker);
                 if let Some((worker, amount)) = worker.zip(task.checked_mul(part.task_count)) {
@@ -430,7 +437,8 @@
             }
         }
         *self.held.entry(&job.spec.organisation).or_default() += job.spec.accelerator_count();
-        let assignments = self.named(parts.iter().map(|part| (part.worker, part.task_count)));
+        let assignments =
+            self.with_worker_names(parts.iter().map(|part| (part.worker, part.task_count)));
         self.commands.push(LeaseCommand::BeginAttempt(BeginAttempt {
             job: name.clone(),
             epoch: job.last_epoch.next(),
--- a/crates/yuccatack_leases/src/spec.rs
+++ b/crates/yuccatack_leases/src/spec.rs
@@ -1,58 +1,58 @@
-//! What callers and operators ask for, independent of any record schema.
+//! Specifications of jobs, guarantees, quotas and policy, independent of any record schema.
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
 
-/// A job to run.
+/// Specification of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job.
+    /// Name of the job, unique among the stored jobs.
     pub name: JobName,
-    /// Who runs it.
+    /// Organisation that submits the job and whose quota it counts against.
     pub organisation: OrganisationName,
-    /// What it occupies.
+    /// Number of tasks, resources of each task, and adjacency.
     pub shape: Shape,
-    /// How urgent it is.
+    /// Priority class of the job.
     pub class: PriorityClass,
-    /// The run time that the organisation expects; a hint only.
+    /// Run time that the organisation expects; only a hint for the scheduler.
     pub declared_run_time_s: u64,
-    /// Whether it may be run again after a lost attempt.
+    /// `true` if the job may run again after an attempt was lost.
     pub idempotent: bool,
-    /// Whether it can be stopped at a checkpoint and go on elsewhere.
+    /// `true` if the job can be stopped at a checkpoint and resumed on other workers.
     pub checkpointable: bool,
-    /// The command line that the worker runs.
+    /// Command line that the worker executes for each task.
     pub command: Vec<String>,
 }
 
 impl JobSpec {
-    /// Whether an attempt can be taken off its workers without losing the job.
+    /// Returns `true` if an attempt can be evicted from its workers without losing the job.
     pub fn is_reclaimable(&self) -> bool {
         self.checkpointable || self.idempotent
     }
 
-    /// The accelerators of the whole gang.
+    /// Returns the number of accelerators of the whole gang.
     pub fn accelerator_count(&self) -> u64 {
         u64::from(self.shape.task_count) * u64::from(self.shape.task.accelerator_count)
     }
 }
 
-/// A shape that an organisation can always claim.
+/// Guarantee of shapes that an organisation can always claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GuaranteeSpec {
-    /// The guarantee.
+    /// Name of the guarantee.
     pub name: RecordName,
-    /// Who holds it.
+    /// Organisation that may claim the shapes.
     pub organisation: OrganisationName,
-    /// The guaranteed shape.
+    /// Shape of each guaranteed instance.
     pub shape: Shape,
-    /// How many of these shapes are guaranteed at once.
+    /// Number of instances of the shape that can be claimed at the same time.
     pub shape_count: u32,
-    /// Where the shapes may lie; empty means anywhere.
+    /// Data centres in which the shapes may be bound; empty allows every data centre.
     pub data_centres: Vec<DataCentreName>,
 }
 
 impl GuaranteeSpec {
-    /// Whether `job` can run inside one guaranteed shape.
+    /// Returns `true` if `job` can run inside one guaranteed shape.
     pub fn covers(&self, job: &JobSpec) -> bool {
         self.organisation == job.organisation
             && self.shape.task_count >= job.shape.task_count
@@ -61,25 +61,26 @@
     }
 }
 
-/// The limits of an organisation.
+/// Quota and fair-share weight of an organisation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaSpec {
-    /// The organisation.
+    /// Name of the organisation that the quota applies to.
     pub organisation: OrganisationName,
-    /// The most accelerators that its jobs may hold at once, guaranteed or borrowed.
+    /// Most accelerators that its jobs may hold at once, guaranteed or borrowed.
     pub accelerator_quota_count: u32,
-    /// Its share in comparison with others when work queues up.
+    /// Share of the organisation relative to others while jobs wait; 0 counts as 1.
     pub fair_share_weight: u32,
 }
 
 /// Weights and reserve of the scheduling policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicySpec {
-    /// The weight of the expected completion delay.
+    /// Weight of the expected completion delay in the placement score.
     pub completion_weight: f64,
-    /// The weight of growth in fragmentation.
+    /// Weight of the growth in fragmentation in the placement score.
     pub fragmentation_weight: f64,
-    /// The healthy workers per data centre that guarantees leave unused, for failures.
+    /// Number of healthy workers per data centre that guarantees leave unused, as a reserve for
+    /// failures.
     pub reserve_worker_count: u32,
 }
 
--- a/crates/yuccatack_leases/src/table.rs
+++ b/crates/yuccatack_leases/src/table.rs
@@ -1,4 +1,4 @@
-//! The replicated state and its queries.
+//! Replicated state of the scheduler and its queries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,8 @@
 use crate::spec::{GuaranteeSpec, PolicySpec, QuotaSpec};
 use crate::worker::{TaskKey, WorkerEntry};
 
-/// Jobs, workers and guarantees. Equal commands in equal order give equal tables.
+/// Replicated table of jobs, workers and guarantees. The same commands in the same order give equal
+/// tables on every replica.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseTable {
     pub(crate) cluster: Cluster,
@@ -31,7 +32,7 @@
     pub(crate) applied_count: u64,
 }
 
-/// The waiting jobs of one organisation, oldest first.
+/// Waiting jobs of one organisation by priority class, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct WaitingJobs {
     by_class: BTreeMap<PriorityClass, BTreeSet<(TimestampMs, JobName)>>,
@@ -67,22 +68,22 @@
     }
 }
 
-/// An accepted guarantee.
+/// Accepted guarantee with its instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GuaranteeEntry {
-    /// What was accepted.
+    /// Specification as accepted.
     pub spec: GuaranteeSpec,
-    /// One entry for each guaranteed shape.
+    /// Instances of the shape, as many as the guarantee counts.
     pub instances: Vec<ShapeInstance>,
 }
 
-/// One guaranteed shape and the capacity that is set aside for it.
+/// One guaranteed shape and the capacity that is reserved for it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShapeInstance {
-    /// Workers and how many tasks of the guaranteed shape each holds; empty when lost capacity
-    /// leaves the shape without a place.
+    /// Workers and the number of tasks of the shape that each holds; empty while lost capacity
+    /// leaves the shape unbacked.
     pub binding: Vec<(WorkerIndex, u32)>,
-    /// The job that claims the shape.
+    /// Job that claims the shape, if any.
     pub claimed_by: Option<JobName>,
 }
 
@@ -92,64 +93,64 @@
     }
 }
 
-/// What is known about an organisation.
+/// Quota and usage of an organisation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrganisationEntry {
-    /// Its limits, if any are set.
+    /// Quota and fair-share weight, if they are set.
     pub quota: Option<QuotaSpec>,
-    /// The accelerators that its attempts hold or have booked.
+    /// Number of accelerators that its attempts hold or have booked.
     pub held_accelerator_count: u64,
-    /// How its run times compare with what it declares.
+    /// Ratio of actual to declared run times of its jobs.
     pub estimate: RunTimeEstimate,
 }
 
 impl LeaseTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The capacity of all workers.
+    /// Returns the capacity of all workers.
     pub fn cluster(&self) -> &Cluster {
         &self.cluster
     }
 
-    /// The scheduling policy.
+    /// Returns the scheduling policy in force.
     pub fn policy(&self) -> &PolicySpec {
         &self.policy
     }
 
-    /// A job that is not forgotten.
+    /// Returns a job, as long as it is retained after its end.
     pub fn job(&self, name: &JobName) -> Option<&JobEntry> {
         self.jobs.get(name)
     }
 
-    /// Every job that is not forgotten.
+    /// Iterates over all jobs, finished jobs within their retention included, by name.
     pub fn jobs(&self) -> impl Iterator<Item = (&JobName, &JobEntry)> {
         self.jobs.iter()
     }
 
-    /// A worker that is not forgotten.
+    /// Returns a worker, as long as it is retained after its loss.
     pub fn worker(&self, name: &WorkerName) -> Option<&WorkerEntry> {
         self.workers.get(name)
     }
 
-    /// Every worker that is not forgotten.
+    /// Iterates over all workers, lost workers within their retention included, by name.
     pub fn workers(&self) -> impl Iterator<Item = (&WorkerName, &WorkerEntry)> {
         self.workers.iter()
     }
 
-    /// Every accepted guarantee.
+    /// Iterates over the accepted guarantees by name.
     pub fn guarantees(&self) -> impl Iterator<Item = &GuaranteeEntry> {
         self.guarantees.values()
     }
 
-    /// An organisation with limits or jobs.
+    /// Returns an organisation that has ever had a quota or a job.
     pub fn organisation(&self, name: &OrganisationName) -> Option<&OrganisationEntry> {
         self.organisations.get(name)
     }
 
-    /// The number of jobs that wait.
+    /// Returns the number of waiting jobs.
     pub fn waiting_job_count(&self) -> usize {
         self.waiting.values().map(WaitingJobs::job_count).sum()
     }
@@ -188,7 +189,7 @@
         }
     }
 
-    /// The tasks on a worker, with their jobs.
+    /// Iterates over the tasks on a worker, with their jobs.
     pub(crate) fn tasks_on<'a>(
         &'a self,
         worker: &'a WorkerEntry,
--- a/crates/yuccatack_leases/src/wire.rs
+++ b/crates/yuccatack_leases/src/wire.rs
@@ -1,4 +1,4 @@
-//! JSON types of the worker protocol.
+//! JSON messages of the worker protocol.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -10,149 +10,149 @@
 };
 use crate::message::WorkerRegistration;
 
-/// The body of `POST /v1/workers/{worker}/heartbeat`.
+/// Request body of `POST /v1/workers/{worker}/heartbeat`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatBody {
-    /// The run of the worker process.
+    /// Incarnation of the worker process; changes with each start.
     pub incarnation: Incarnation,
-    /// Where the worker is.
+    /// Data centre that the worker is in.
     pub data_centre: DataCentreName,
-    /// Its rack within the data centre.
+    /// Rack of the worker within the data centre.
     pub rack: RackName,
-    /// Everything it has.
+    /// Total resources of the worker.
     pub resources: Resources,
-    /// Grows with each heartbeat of an incarnation.
+    /// Sequence number that grows with each heartbeat of an incarnation.
     pub sequence: u64,
-    /// Its tasks.
+    /// Every task that the worker holds, and every ended task that was not acknowledged yet.
     pub tasks: Vec<TaskBody>,
 }
 
-/// A task in a heartbeat.
+/// Task as listed in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskBody {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// The attempt.
+    /// Fencing epoch of the attempt.
     pub epoch: FencingEpoch,
-    /// The task.
+    /// Index of the task within its gang, from 0.
     pub index: u32,
-    /// How far it is.
+    /// State when the heartbeat was sent.
     pub state: TaskStateBody,
-    /// What it uses.
+    /// Measured resource usage; zero when absent.
     #[serde(default)]
     pub usage: Resources,
 }
 
-/// How far a task is.
+/// State of a task as reported by its worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskStateBody {
-    /// Ready to run.
+    /// The capacity is held and the task can be started.
     Prepared,
-    /// Runs.
+    /// The task has been started.
     Running,
-    /// Saved its progress and ended.
+    /// The task saved its progress and ended.
     Checkpointed,
-    /// Was stopped.
+    /// The task ended on command or because the lease expired.
     Stopped,
-    /// Did its work.
+    /// The task completed its work.
     Succeeded,
-    /// Ended with an error.
+    /// The task ended with an error.
     Failed,
 }
 
-/// The reply to a heartbeat.
+/// Response body of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReplyBody {
-    /// The sequence of the heartbeat.
+    /// Sequence number of the heartbeat that is answered.
     pub sequence: u64,
-    /// How long tasks may run from when the heartbeat was sent; 0 grants nothing.
+    /// Time for which tasks may run, counted from the sending of the heartbeat; 0 grants no lease.
     pub lease_ms: u64,
-    /// What to do.
+    /// Commands to carry out, repeated until the worker reports the result.
     pub commands: Vec<CommandBody>,
-    /// Ended tasks that need not be reported again.
+    /// Ended tasks that the worker need not report again.
     pub acknowledged: Vec<ReferenceBody>,
 }
 
-/// One task of one attempt.
+/// Identifies one task of one attempt.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ReferenceBody {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// The attempt.
+    /// Fencing epoch of the attempt.
     pub epoch: FencingEpoch,
-    /// The task.
+    /// Index of the task within its gang, from 0.
     pub index: u32,
 }
 
-/// A command to a worker.
+/// Command to a worker about one task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommandBody {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// The attempt.
+    /// Fencing epoch of the attempt.
     pub epoch: FencingEpoch,
-    /// The task.
+    /// Index of the task within its gang, from 0.
     pub index: u32,
-    /// What to do.
+    /// Requested action with its arguments.
     #[serde(flatten)]
     pub kind: CommandKindBody,
 }
 
-/// What a worker is told to do.
+/// Action that a worker is requested to take on a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 pub enum CommandKindBody {
-    /// Hold the capacity and get ready.
+    /// Reserve the capacity and prepare the task.
     Prepare {
-        /// The accelerators to use, by number.
+        /// Numbers of the accelerators to use.
         accelerators: Vec<u32>,
-        /// The amounts of the task.
+        /// Resources that the task may use.
         resources: Resources,
-        /// The number of tasks of the gang.
+        /// Number of tasks in the gang.
         task_count: u32,
-        /// The command line.
+        /// Command line to execute.
         command_line: Vec<String>,
-        /// The attempt whose checkpoint to continue.
+        /// Epoch of the attempt whose checkpoint is resumed; absent for a start from the beginning.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         resume_epoch: Option<FencingEpoch>,
     },
-    /// Run.
+    /// Start the prepared task.
     Start,
-    /// Save the progress and end.
+    /// Save the progress and end the task.
     Checkpoint,
-    /// Limit the processor time.
+    /// Limit the processor time of the task.
     Throttle {
-        /// Thousandths of the processor time.
+        /// Limit in thousandths of the processor time.
         limit_milli: u32,
     },
-    /// End at once.
+    /// End the task at once; also sent for a task that the worker does not report.
     Stop,
 }
 
-/// A heartbeat that cannot be used.
+/// Heartbeat that is rejected before it reaches the scheduler.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum HeartbeatError {
-    /// The path names no valid worker.
+    /// The path does not contain a valid worker name.
     #[snafu(display("{source}; correct the worker name in the path"))]
     Worker {
-        /// What is wrong with it.
+        /// Violated rule for names.
         source: yuccatack_core::InvalidNameError,
     },
-    /// More accelerators than the protocol numbers.
+    /// The worker reports more accelerators than the 64 that an accelerator mask can represent.
     #[snafu(display(
         "worker `{worker}` reports {count} accelerators; report at most 64 for one worker"
     ))]
     TooManyAccelerators {
-        /// The worker.
+        /// Name of the worker.
         worker: WorkerName,
-        /// What it reports.
+        /// Number of accelerators reported.
         count: u32,
     },
 }
 
 impl HeartbeatBody {
-    /// The report of the worker that the path names.
+    /// Validates the body and combines it with the worker name from the path.
     pub fn into_report(self, worker: &str) -> Result<HeartbeatReport, HeartbeatError> {
         let worker = WorkerName::new(worker).map_err(|source| HeartbeatError::Worker { source })?;
         let count = self.resources.accelerator_count;
--- a/crates/yuccatack_leases/src/worker.rs
+++ b/crates/yuccatack_leases/src/worker.rs
@@ -1,4 +1,4 @@
-//! The state of a worker.
+//! State of a worker.
 
 use std::collections::BTreeSet;
 
@@ -6,51 +6,52 @@
 use yuccatack_core::prelude::*;
 use yuccatack_placement::WorkerIndex;
 
-/// A task of a job's current attempt.
+/// Identifies a task of the current attempt of a job.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct TaskKey {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// The task.
+    /// Index of the task within its gang, from 0.
     pub index: u32,
 }
 
-/// A worker with its health.
+/// Replicated state of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerEntry {
-    /// Its position in the cluster.
+    /// Index of the worker in the cluster.
     pub index: WorkerIndex,
-    /// The run of the worker process.
+    /// Incarnation of the worker process; changes with each start.
     pub incarnation: Incarnation,
-    /// Grows with each registration under this name.
+    /// Number of registrations under this name while its entry is kept, this one included.
     pub registration_number: u64,
-    /// Everything it has.
+    /// Total resources of the worker.
     pub resources: Resources,
-    /// Whether it gets work.
+    /// Health, which decides whether jobs are placed on the worker.
     pub health: WorkerHealth,
-    /// Tasks that hold or wait for its capacity.
+    /// Tasks that hold or have booked capacity of the worker.
     pub tasks: BTreeSet<TaskKey>,
-    /// Different jobs that failed here since the last success, as many as matter.
+    /// Different jobs that failed on the worker since its last success, at most
+    /// [`MAX_FAILED_JOBS`](crate::MAX_FAILED_JOBS).
     pub failed_jobs: BTreeSet<JobName>,
-    /// The wait before the first probe of the next quarantine; reset by a success.
+    /// Delay before the next probe that is scheduled; doubles each time and is reset by a success.
     pub backoff_ms: u64,
-    /// How often it was quarantined.
+    /// Number of times that the worker was quarantined.
     pub quarantine_count: u32,
 }
 
-/// Whether a worker gets work.
+/// Health of a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum WorkerHealth {
-    /// It gets work.
+    /// Jobs are placed on the worker.
     Healthy,
-    /// It failed every job and gets one probe at a time.
+    /// The worker failed several jobs in a row and gets one probe at a time.
     Quarantined {
-        /// When the next probe is due.
+        /// Time at which the next probe is due.
         probe_at: TimestampMs,
     },
-    /// Its lease has ended.
+    /// The lease of the worker has ended.
     Lost {
-        /// When.
+        /// Time at which the loss was recorded.
         since: TimestampMs,
     },
 }
