--- a/crates/yuccatack_leases/tests/gang_start.rs
+++ b/crates/yuccatack_leases/tests/gang_start.rs
@@ -1,4 +1,4 @@
-//! Gangs start whole or not at all.
+//! Tests that a gang starts completely or not at all.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -7,7 +7,7 @@
 use yuccatack_core::prelude::*;
 use yuccatack_leases::*;
 
-/// Guards against gangs that never start or start more than once in a healthy platform.
+/// Guards against a gang that never starts, or starts twice, on a healthy platform.
 #[test]
 fn starts_once() {
     let mut platform = Platform::new(1, workers(6, 2));
@@ -19,12 +19,13 @@
     assert!(platform.violations().is_empty());
 }
 
-/// Guards against a gang that starts on some workers while another one never confirmed.
+/// Guards against a gang that starts on some workers although a disconnected one never confirmed
+/// the preparation.
 #[test]
 fn missing_confirmation() {
     let mut platform = Platform::new(2, workers(3, 1));
     platform.run_for(1_000);
-    platform.workers[1].cut_until = platform.now + 60_000;
+    platform.workers[1].disconnected_until = platform.now + 60_000;
     platform.submit(job("gang", "alpha", shape(3, 8, Adjacency::Rack)));
     let gang = job_name("gang");
     platform.run_for(30_000);
@@ -34,7 +35,7 @@
     assert!(platform.violations().is_empty());
 }
 
-/// Guards against the rest of a gang that goes on alone after one worker is lost.
+/// Guards against the remaining tasks of a gang that continue after one of its workers is lost.
 #[test]
 fn stops_together() {
     let mut platform = Platform::new(3, workers(3, 1));
@@ -48,7 +49,7 @@
     }
     platform.submit(spec);
     assert!(platform.run_until(5_000, |p| p.starts(&gang).len() == 3));
-    platform.workers[2].dead_until = platform.now + 100_000;
+    platform.workers[2].off_until = platform.now + 100_000;
     platform.run_for(9_000);
     let records = platform.starts(&gang);
     assert!(records.iter().all(|record| record.ended.is_some() || record.task.index == 2));
--- a/crates/yuccatack_leases/tests/guarantee_claim.rs
+++ b/crates/yuccatack_leases/tests/guarantee_claim.rs
@@ -1,4 +1,4 @@
-//! Guarantees are accepted only when they fit together, and can always be reclaimed.
+//! Tests that guarantees are accepted only when they fit together, and can always be reclaimed.
 #![allow(clippy::unwrap_used, clippy::print_stdout, missing_docs)]
 
 mod support;
@@ -13,14 +13,14 @@
     platform
 }
 
-fn long_running(platform: &mut Platform, spec: &JobSpec) {
+fn set_long_run_time(platform: &mut Platform, spec: &JobSpec) {
     for worker in &mut platform.workers {
         worker.model.set_run_time(&spec.name, DurationMs::new(600_000));
     }
 }
 
-/// Guards against a guarantee that the healthy capacity minus the reserve cannot hold, and against
-/// a refusal that does not say what would fit.
+/// Guards against an accepted guarantee that exceeds the healthy capacity minus the reserve, and
+/// against a refusal that does not name the nearest guarantee that fits.
 #[test]
 fn refuses_excess() {
     let mut platform = platform_with(6);
@@ -37,8 +37,8 @@
     assert!(platform.table.check_guarantee(&guarantee("next", "beta", whole_worker, 2)).is_ok());
 }
 
-/// The time from the submission of an urgent gang to the start of its last task, when borrowers
-/// hold everything and take `checkpoint_ms` to checkpoint.
+/// Returns the time from the submission of an urgent gang to the start of its last task, when
+/// borrowers hold all accelerators and take `checkpoint_ms` to checkpoint.
 fn urgent_start_ms(seed: u64, checkpoint_ms: u64) -> u64 {
     let mut platform = Platform::new(seed, workers(3, 1));
     platform.run_for(1_000);
@@ -46,7 +46,7 @@
     platform.apply(LeaseCommand::SetGuarantee(kept));
     for number in 0..6 {
         let borrower = job(&format!("borrower-{number}"), "beta", shape(1, 4, Adjacency::Worker));
-        long_running(&mut platform, &borrower);
+        set_long_run_time(&mut platform, &borrower);
         platform.submit(borrower);
     }
     platform.run_for(5_000 + seed * 130 % 2_000);
@@ -64,8 +64,8 @@
     platform.now - submitted_at
 }
 
-/// Guards against an urgent claim that waits longer than 8.3 s for borrowers, whether they
-/// checkpoint or ignore the request.
+/// Guards against an urgent claim that starts later than 8.3 s, both when borrowers checkpoint in
+/// time and when they exceed the checkpoint time-out.
 #[test]
 fn reclaims_in_time() {
     for checkpoint_ms in [200, 10_000] {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Guards against a job that can be neither checkpointed nor run again on capacity that a
+/// Guards against placing a job that can be neither checkpointed nor run again on capacity that a
 /// guarantee may need at any time.
 #[test]
 fn keeps_firm_jobs_off() {
@@ -88,7 +88,7 @@
         let mut firm = job(&format!("firm-{number}"), "beta", shape(1, 8, Adjacency::Worker));
         firm.idempotent = false;
         firm.checkpointable = false;
-        long_running(&mut platform, &firm);
+        set_long_run_time(&mut platform, &firm);
         platform.submit(firm);
     }
     platform.run_for(10_000);
@@ -100,7 +100,7 @@
     assert_eq!(platform.table.explain(waiting).wait, Some(WaitReason::Guarantees));
 }
 
-/// Guards against a guarantee that keeps a lost worker as its place.
+/// Guards against a guarantee that stays bound to a lost worker.
 #[test]
 fn moves_off_lost_workers() {
     let mut platform = platform_with(6);
@@ -111,7 +111,7 @@
     let name = platform.table.cluster().worker(before[0].0).unwrap().name.clone();
     let now = platform.now;
     let lost = platform.workers.iter_mut().find(|w| w.model.registration().worker == name).unwrap();
-    lost.cut_until = now + 60_000;
+    lost.disconnected_until = now + 60_000;
     platform.run_for(10_000);
     assert!(!bound(&platform).is_empty());
     assert_ne!(bound(&platform), before);
--- a/crates/yuccatack_leases/tests/job_checks.rs
+++ b/crates/yuccatack_leases/tests/job_checks.rs
@@ -1,4 +1,4 @@
-//! Refusals, quotas, quarantine and cancellations.
+//! Tests of job refusals, quotas, quarantine and cancellations.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -14,7 +14,7 @@
     platform
 }
 
-/// Guards against jobs that wait for ever because no domain or quota can hold them.
+/// Guards against accepted jobs that wait forever because they exceed every domain or the quota.
 #[test]
 fn refuses_impossible() {
     let mut platform = platform_with(3);
@@ -34,9 +34,9 @@
     assert!(matches!(platform.table.check_job(&none), Err(JobRefusal::NoTasks { .. })));
 }
 
-/// Guards against an organisation that holds more than its quota.
+/// Guards against an organisation that holds more accelerators than its quota allows.
 #[test]
-fn holds_quota() {
+fn enforces_quota() {
     let mut platform = platform_with(3);
     let quota = QuotaSpec {
         organisation: organisation("alpha"),
@@ -52,18 +52,18 @@
     assert_eq!(held, 6);
 }
 
-/// Guards against a faulty worker that eats one job after another, and against one that never
-/// returns to service.
+/// Guards against a faulty worker that fails one job after another, and against a repaired worker
+/// that never returns to service.
 #[test]
 fn quarantines_worker() {
     let mut platform = platform_with(3);
     platform.workers[0].model.set_behaviour(Behaviour::FailAll);
-    let bad = platform.workers[0].model.registration().worker.clone();
+    let faulty = platform.workers[0].model.registration().worker.clone();
     for number in 0..30 {
         platform.submit(job(&format!("job-{number}"), "alpha", shape(1, 8, Adjacency::Worker)));
     }
     let quarantined = |p: &Platform| {
-        matches!(p.table.worker(&bad).unwrap().health, WorkerHealth::Quarantined { .. })
+        matches!(p.table.worker(&faulty).unwrap().health, WorkerHealth::Quarantined { .. })
     };
     assert!(platform.run_until(30_000, quarantined));
     platform.workers[0].model.set_behaviour(Behaviour::Normal);
@@ -72,11 +72,11 @@
     assert!(platform.table.jobs().all(|(_, job)| job.phase == JobPhase::Succeeded));
 }
 
-/// Guards against a faulty job that is tried for ever.
+/// Guards against a faulty job that is retried forever.
 #[test]
 fn refuses_faulty_job() {
     let mut platform = platform_with(6);
-    // Other jobs succeed on each worker between the failures, so the job is at fault.
+    // Other jobs succeed on the workers, so the failures count against the job.
     for number in 0..30 {
         platform.submit(job(&format!("good-{number}"), "alpha", shape(1, 1, Adjacency::Worker)));
     }
@@ -98,7 +98,7 @@
 }
 
 /// Guards against a burst of cancellations that delays urgent work, and against a cancelled job
-/// that is reported as not run although it ran.
+/// that ran but is reported as not run.
 #[test]
 fn cancels_in_bulk() {
     let mut platform = platform_with(6);
--- a/crates/yuccatack_leases/tests/lease_safety.rs
+++ b/crates/yuccatack_leases/tests/lease_safety.rs
@@ -1,4 +1,4 @@
-//! The rules that keep a worker's lease and the release of its capacity apart.
+//! Tests that the capacity of a worker is never released while its lease may still be valid.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -22,32 +22,33 @@
     table
 }
 
-fn losses(commands: &[LeaseCommand]) -> usize {
+fn loss_count(commands: &[LeaseCommand]) -> usize {
     commands.iter().filter(|c| matches!(c, LeaseCommand::LoseWorker { .. })).count()
 }
 
-/// Guards against a worker that is given up while its lease, or its clock's error, still runs.
+/// Guards against a worker that is declared lost before its lease and the clock margin have ended.
 #[test]
-fn margin_passes_first() {
+fn margin_before_loss() {
     let table = registered();
     let mut leader = Scheduler::new(at(0));
     leader.heartbeat(&table, report(1), at(10_000));
-    assert_eq!(losses(&leader.schedule(&table, at(16_499))), 0);
-    assert_eq!(losses(&leader.schedule(&table, at(16_500))), 1);
+    assert_eq!(loss_count(&leader.schedule(&table, at(16_499))), 0);
+    assert_eq!(loss_count(&leader.schedule(&table, at(16_500))), 1);
 }
 
-/// Guards against a new leader that gives up workers whose lease its predecessor extended.
+/// Guards against a new leader that declares workers lost whose lease its predecessor extended.
 #[test]
 fn new_leader_waits() {
     let table = registered();
     let mut leader = Scheduler::new(at(10_000));
-    assert_eq!(losses(&leader.schedule(&table, at(16_499))), 0);
-    assert_eq!(losses(&leader.schedule(&table, at(16_500))), 1);
+    assert_eq!(loss_count(&leader.schedule(&table, at(16_499))), 0);
+    assert_eq!(loss_count(&leader.schedule(&table, at(16_500))), 1);
 }
 
-/// Guards against a lease that is granted while the loss of the worker is on its way in the log.
+/// Guards against a lease that is granted while the loss of the worker is in the log but not yet
+/// applied.
 #[test]
-fn condemned_gets_no_lease() {
+fn no_lease_after_loss() {
     let mut table = registered();
     let mut leader = Scheduler::new(at(0));
     leader.heartbeat(&table, report(1), at(10_000));
@@ -66,9 +67,10 @@
     assert_eq!(reply.lease, Some(LEASE_DURATION));
 }
 
-/// Guards against a loss that the log delivers twice and that ends the tasks of a live worker.
+/// Guards against a loss that is delivered twice by the log and then ends the tasks of a worker
+/// that has registered again.
 #[test]
-fn late_loss_is_void() {
+fn duplicate_loss_ignored() {
     let mut table = registered();
     let name = worker(0, 0, 0, 8).worker;
     let loss = LeaseCommand::LoseWorker { worker: name.clone(), registration_number: 1, at: at(9) };
@@ -78,8 +80,7 @@
     assert_eq!(table.worker(&name).unwrap().health, WorkerHealth::Healthy);
 }
 
-/// Guards against a delayed heartbeat of an old incarnation that ends the tasks of the present
-/// one.
+/// Guards against a delayed heartbeat of an old incarnation that ends the tasks of the current one.
 #[test]
 fn incarnation_waits() {
     let mut table = registered();
@@ -93,9 +94,9 @@
     assert!(table.apply(command).is_empty());
 }
 
-/// Guards against an old report that a new one has overtaken.
+/// Guards against a heartbeat that takes effect after a later one of the same incarnation.
 #[test]
-fn old_report_is_void() {
+fn old_report_ignored() {
     let table = registered();
     let mut leader = Scheduler::new(at(0));
     leader.heartbeat(&table, report(5), at(1_000));
--- a/crates/yuccatack_leases/tests/random_faults.rs
+++ b/crates/yuccatack_leases/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Long randomised runs over workers that fail, lie, lag, freeze and come back.
+//! Long randomised runs with workers that fail, report falsely, are slow, freeze and return.
 #![allow(clippy::unwrap_used, clippy::print_stdout, missing_docs)]
 
 mod support;
@@ -30,7 +30,7 @@
     spec.idempotent = rng.random_bool(0.6);
     spec.checkpointable = rng.random_bool(0.5);
     let run_time_ms = rng.random_range(500..40_000);
-    // Declared times are wrong by up to ten times in either direction.
+    // Declared run times are off by a factor of up to 10 in either direction.
     let factor = 10f64.powf(rng.random_range(-1.0..1.0));
     spec.declared_run_time_s = ((run_time_ms as f64 / 1000.0 * factor) as u64).max(1);
     for worker in &mut platform.workers {
@@ -46,25 +46,25 @@
     let kind = platform.rng.random_range(0..10);
     let worker = &mut platform.workers[position];
     match kind {
-        0 => worker.dead_until = now + length,
+        0 => worker.off_until = now + length,
         1 => {
             worker.frozen_until = now + length;
-            worker.freezes.push((now, now + length));
+            worker.freeze_intervals.push((now, now + length));
         }
-        2 | 3 => worker.cut_until = now + length,
-        4 => worker.lag_ms = [2, 2, 50, 400, 1_500][length as usize % 5],
+        2 | 3 => worker.disconnected_until = now + length,
+        4 => worker.latency_ms = [2, 2, 50, 400, 1_500][length as usize % 5],
         5 => worker.model.set_behaviour(Behaviour::FailAll),
-        6 => worker.lies = !worker.lies,
+        6 => worker.reports_falsely = !worker.reports_falsely,
         7 => worker.model.set_behaviour(Behaviour::Normal),
         8 => worker.model.set_checkpoint_time(DurationMs::new(length / 5)),
         _ => platform.lose_leader(length / 10),
     }
 }
 
-fn calm(platform: &mut Platform) {
+fn clear_faults(platform: &mut Platform) {
     for worker in &mut platform.workers {
-        worker.lies = false;
-        worker.lag_ms = 2;
+        worker.reports_falsely = false;
+        worker.latency_ms = 2;
         worker.model.set_behaviour(Behaviour::Normal);
         worker.model.set_checkpoint_time(DurationMs::new(200));
     }
@@ -101,11 +101,11 @@
         let pause = platform.rng.random_range(100..4_000);
         platform.run_for(pause);
     }
-    calm(&mut platform);
+    clear_faults(&mut platform);
     platform.run_for(5 * 60_000);
     let violations = platform.check_records();
     assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
-    // A platform without faults finishes what it accepted, so nothing may be stuck.
+    // Without faults every attempt ends, so no attempt may be older than two minutes.
     let stuck: Vec<String> = platform
         .table
         .jobs()
@@ -119,7 +119,8 @@
     let count =
         |status| platform.table.jobs().filter(|(n, _)| platform.status(n) == status).count();
     eprintln!(
-        "seed {seed}: {number} jobs, {} succeeded, {} unknown, {} failed, {} refused, {} cancelled, {} waiting",
+        "seed {seed}: {number} jobs, {} succeeded, {} unknown, {} failed, {} refused, \
+         {} cancelled, {} waiting",
         count(JobStatus::Succeeded),
         count(JobStatus::Unknown),
         count(JobStatus::Failed),
@@ -129,8 +130,9 @@
     );
 }
 
-/// Guards against partial gangs, second starts of jobs that may run once, two users of one
-/// accelerator, guarantees that cannot be reclaimed and false reports of "not run".
+/// Guards, under random faults, against partial gangs, second starts of jobs that may run once,
+/// accelerators with two users, guarantees that cannot be reclaimed and jobs that ran but are
+/// reported as not run.
 #[test]
 fn holds_invariants() {
     for batch in seeds(6).chunks(3) {
@@ -140,7 +142,7 @@
         };
         let runs: Vec<_> = batch.iter().map(start).collect();
         for (seed, run) in runs {
-            assert!(run.join().is_ok(), "seed {seed} shows a violation; its report is above");
+            assert!(run.join().is_ok(), "seed {seed} violates an invariant; see its report above");
         }
     }
 }
--- a/crates/yuccatack_leases/tests/support/build.rs
+++ b/crates/yuccatack_leases/tests/support/build.rs
@@ -1,4 +1,4 @@
-//! Short ways to build specifications.
+//! Builders of specifications for tests.
 
 use yuccatack_core::prelude::*;
 use yuccatack_leases::*;
@@ -60,12 +60,14 @@
     }
 }
 
-/// `count` workers with 8 accelerators each, three to a rack, racks spread over data centres.
+/// Returns `count` workers with 8 accelerators each, three to a rack, with the racks spread over
+/// the data centres.
 pub fn workers(count: usize, data_centres: usize) -> Vec<WorkerRegistration> {
     (0..count).map(|number| worker(number, number / 3 % data_centres, number / 3, 8)).collect()
 }
 
-/// Seeds of a randomised run: fixed ones unless the environment names others.
+/// Returns the seeds of a randomised run: from 1 unless `YUCCATACK_SEED` and `YUCCATACK_SEED_COUNT`
+/// set others.
 pub fn seeds(default_count: u64) -> Vec<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let first = number("YUCCATACK_SEED").unwrap_or(1);
--- a/crates/yuccatack_leases/tests/support/check.rs
+++ b/crates/yuccatack_leases/tests/support/check.rs
@@ -1,4 +1,4 @@
-//! Invariants over what the workers really did.
+//! Checks of invariants against the records that the workers keep of their own tasks.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +8,34 @@
 
 use super::Platform;
 
-/// After a worker is lost, the rest of its gang may run for this long: the lease, the margin, the
-/// proposal and the way of the stop command.
+/// Time for which the rest of a gang may run after a worker is lost: lease, clock margin, and
+/// proposal and delivery of the stop command.
 const PARTIAL_LIMIT_MS: u64 = 6_000 + 500 + 2_500;
 
 impl Platform {
-    fn by_job(&self) -> BTreeMap<JobName, Vec<&TaskRecord>> {
-        let mut by_job: BTreeMap<JobName, Vec<&TaskRecord>> = BTreeMap::new();
+    fn records_by_job(&self) -> BTreeMap<JobName, Vec<&TaskRecord>> {
+        let mut records_by_job: BTreeMap<JobName, Vec<&TaskRecord>> = BTreeMap::new();
         for worker in &self.workers {
             for record in worker.model.records() {
-                by_job.entry(record.task.job.clone()).or_default().push(record);
+                records_by_job.entry(record.task.job.clone()).or_default().push(record);
             }
         }
-        by_job
+        records_by_job
     }
 
-    /// Every violation that the workers' own records show.
+    /// Returns every violation that the records of the workers show.
     pub fn check_records(&self) -> Vec<String> {
         let mut violations = self.violations();
-        for (name, records) in self.by_job() {
+        for (name, records) in self.records_by_job() {
             let Some(entry) = self.table.job(&name) else { continue };
             if !entry.spec.idempotent {
-                at_most_once(&name, &records, &mut violations);
+                check_at_most_once(&name, &records, &mut violations);
             }
             if self.table.explain(&name).not_run {
                 violations.push(format!("{name} ran and is reported as not run"));
             }
-            self.whole(&name, entry, &records, &mut violations);
-            self.fenced(&name, &records, &mut violations);
+            self.check_gang_complete(&name, entry, &records, &mut violations);
+            self.check_fencing(&name, &records, &mut violations);
         }
         for (name, entry) in self.table.jobs() {
             if matches!(entry.phase, JobPhase::Succeeded) {
@@ -45,13 +45,13 @@
         violations
     }
 
-    /// No attempt of a job starts while a task of an earlier one still runs.
-    fn fenced(&self, name: &JobName, records: &[&TaskRecord], violations: &mut Vec<String>) {
+    /// Checks that no attempt of a job starts while a task of an earlier attempt still runs.
+    fn check_fencing(&self, name: &JobName, records: &[&TaskRecord], violations: &mut Vec<String>) {
         for later in records {
             for earlier in records.iter().filter(|other| other.task.epoch < later.task.epoch) {
                 let end = earlier.ended.map_or(self.now, |(at, _)| at.get());
                 let start = later.started_at.get();
-                // A frozen process runs nothing, and its tasks end when it thaws.
+                // A frozen process executes nothing, and its tasks end when it resumes.
                 if end > start && !self.was_frozen(earlier, start, end) {
                     violations.push(format!(
                         "{name} epoch {} started {} ms before epoch {} had ended",
@@ -64,8 +64,8 @@
         }
     }
 
-    /// No task of an attempt runs for long without the others.
-    fn whole(
+    /// Checks that no task of an attempt runs longer than the limit without the others.
+    fn check_gang_complete(
         &self,
         name: &JobName,
         entry: &JobEntry,
@@ -77,9 +77,10 @@
             attempts.entry(record.task.epoch).or_default().push(record);
         }
         for (epoch, records) in attempts {
-            // A task of which its worker reported a false end is not run by that worker.
-            let feigned = self.feigned(name, epoch, &records);
-            let complete = records.len() + feigned == entry.spec.shape.task_count as usize;
+            // A worker does not run a task of which it falsely reported the end.
+            let falsely_reported_count = self.falsely_reported_count(name, epoch, &records);
+            let complete =
+                records.len() + falsely_reported_count == entry.spec.shape.task_count as usize;
             let lost = records
                 .iter()
                 .filter_map(|record| record.ended)
@@ -87,16 +88,16 @@
                 .map(|(at, _)| at.get())
                 .min();
             let started = records.iter().map(|record| record.started_at.get()).min().unwrap_or(0);
-            let alone_from = if complete { lost } else { Some(started) };
-            let Some(alone_from) = alone_from else { continue };
+            let partial_since_ms = if complete { lost } else { Some(started) };
+            let Some(partial_since_ms) = partial_since_ms else { continue };
             for record in records {
                 let end = record.ended.map_or(self.now, |(at, _)| at.get());
-                // What a frozen process "runs" is no work; it ends when the process thaws.
-                let frozen = self.was_frozen(record, alone_from, end);
-                if end > self.partial_end(alone_from) && !frozen {
-                    let alone_ms = end - alone_from;
+                // The tasks of a frozen process execute nothing and end when it resumes.
+                let frozen = self.was_frozen(record, partial_since_ms, end);
+                if end > self.partial_deadline(partial_since_ms) && !frozen {
+                    let partial_ms = end - partial_since_ms;
                     violations.push(format!(
-                        "{name} epoch {epoch} task {} ran {alone_ms} ms without the rest: {:?}",
+                        "{name} epoch {epoch} task {} ran {partial_ms} ms without the rest: {:?}",
                         record.task.index,
                         self.task_events(record)
                     ));
@@ -105,7 +106,7 @@
         }
     }
 
-    /// What happened to an attempt, for the message of a violation.
+    /// Returns the task records and events of an attempt, for the message of a violation.
     fn task_events(&self, record: &TaskRecord) -> Vec<String> {
         let mut lines = Vec::new();
         for worker in &self.workers {
@@ -116,7 +117,7 @@
                     let (from, to) = (other.started_at.get(), other.ended);
                     lines.push(format!(
                         "{name} {} {from} {to:?} {:?}",
-                        other.task.index, worker.freezes
+                        other.task.index, worker.freeze_intervals
                     ));
                 }
             }
@@ -127,39 +128,45 @@
         lines
     }
 
-    /// How many tasks of an attempt were falsely reported and not run.
-    fn feigned(&self, name: &JobName, epoch: FencingEpoch, records: &[&TaskRecord]) -> usize {
+    /// Returns the number of tasks of an attempt that were falsely reported and not run.
+    fn falsely_reported_count(
+        &self,
+        name: &JobName,
+        epoch: FencingEpoch,
+        records: &[&TaskRecord],
+    ) -> usize {
         let reports = self.workers.iter().flat_map(|worker| &worker.false_reports);
         let own = reports.filter(|task| task.job == *name && task.epoch == epoch);
         let not_run = own.filter(|task| records.iter().all(|record| record.task != **task));
         not_run.map(|task| task.index).collect::<std::collections::BTreeSet<_>>().len()
     }
 
-    /// When the rest of a gang must have stopped. A new leader does not know how long a worker has
-    /// been silent, so each leader change starts the limit again.
-    fn partial_end(&self, alone_from: u64) -> u64 {
-        let mut end = alone_from + PARTIAL_LIMIT_MS;
+    /// Returns the time by which the rest of a gang must have stopped. A new leader does not know
+    /// when a worker sent its last heartbeat, so each leader change restarts the limit.
+    fn partial_deadline(&self, partial_since_ms: u64) -> u64 {
+        let mut end = partial_since_ms + PARTIAL_LIMIT_MS;
         for (lost_at, from) in &self.leader_changes {
-            if *lost_at <= end && *from >= alone_from {
+            if *lost_at <= end && *from >= partial_since_ms {
                 end = end.max(from + PARTIAL_LIMIT_MS);
             }
         }
         end
     }
 
-    /// Whether the record ended when its frozen process thawed.
+    /// Returns `true` if the process of the task was frozen in the interval and resumed at most
+    /// [`PARTIAL_LIMIT_MS`] before `end`.
     fn was_frozen(&self, record: &TaskRecord, from: u64, end: u64) -> bool {
         self.workers.iter().any(|worker| {
             let own = worker.model.records().iter().any(|other| std::ptr::eq(other, record));
-            own && worker.freezes.iter().any(|(start, thaw)| {
-                *start <= end && *thaw >= from && end <= thaw + PARTIAL_LIMIT_MS
+            own && worker.freeze_intervals.iter().any(|(start, resumed_at)| {
+                *start <= end && *resumed_at >= from && end <= resumed_at + PARTIAL_LIMIT_MS
             })
         })
     }
 
-    /// A job that succeeded has a success of each task in one attempt.
+    /// Checks that every task of a successful job succeeded in its last attempt.
     fn complete(&self, name: &JobName, entry: &JobEntry, violations: &mut Vec<String>) {
-        if self.liars_ran(name) {
+        if self.has_false_reports(name) {
             return;
         }
         let done = |index: u32| {
@@ -174,13 +181,14 @@
         }
     }
 
-    fn liars_ran(&self, name: &JobName) -> bool {
+    fn has_false_reports(&self, name: &JobName) -> bool {
         self.workers.iter().any(|worker| worker.false_reports.iter().any(|task| task.job == *name))
     }
 }
 
-/// A job that may not run again has one start of each task, or one for each confirmed checkpoint.
-fn at_most_once(name: &JobName, records: &[&TaskRecord], violations: &mut Vec<String>) {
+/// Checks that a job that may not run again started each task once, or once per confirmed
+/// checkpoint.
+fn check_at_most_once(name: &JobName, records: &[&TaskRecord], violations: &mut Vec<String>) {
     let mut starts: BTreeMap<(u32, Option<FencingEpoch>), u32> = BTreeMap::new();
     for record in records {
         *starts.entry((record.task.index, record.resume_epoch)).or_default() += 1;
--- a/crates/yuccatack_leases/tests/support/mod.rs
+++ b/crates/yuccatack_leases/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A platform under virtual time: workers, a network with delays, and a leader that may change.
+//! Simulated platform on a virtual clock: workers, a network with delays, and leader changes.
 #![allow(dead_code, clippy::unwrap_used, missing_docs)]
 
 mod build;
@@ -16,30 +16,30 @@
 
 pub const TICK_MS: u64 = 10;
 
-/// A worker with its connection to the leader.
+/// Simulated worker with its connection to the leader.
 pub struct SimWorker {
     pub model: WorkerModel,
     pub next_heartbeat: u64,
-    /// Heartbeats on their way, with the time of arrival and of sending.
+    /// Heartbeats in transit, each with its time of arrival and of sending.
     uplink: Vec<(u64, u64, HeartbeatReport)>,
-    /// Replies on their way.
+    /// Replies in transit, each with its time of arrival and the sending time of its heartbeat.
     downlink: Vec<(u64, u64, HeartbeatReply)>,
-    /// Heartbeats that the leader holds until a command is due.
+    /// Reply that the leader holds until a command is due, with its time of arrival and of sending.
     held: Option<(u64, u64, HeartbeatReply)>,
-    /// Until when nothing passes between the worker and the leader.
-    pub cut_until: u64,
-    /// Until when the process does not run.
+    /// End of the time in which no message passes between the worker and the leader.
+    pub disconnected_until: u64,
+    /// End of the time in which the process is suspended.
     pub frozen_until: u64,
-    /// Until when the machine is off.
-    pub dead_until: u64,
-    /// Whether it reports states that are not so.
-    pub lies: bool,
-    /// Tasks of which it reported something false.
+    /// End of the time in which the machine is powered off.
+    pub off_until: u64,
+    /// `true` while the worker reports false task states.
+    pub reports_falsely: bool,
+    /// Tasks of which the worker reported a false state.
     pub false_reports: BTreeSet<TaskReference>,
-    /// When the process did not run.
-    pub freezes: Vec<(u64, u64)>,
-    /// Added to each message, in both directions.
-    pub lag_ms: u64,
+    /// Start and end of each time in which the process was suspended.
+    pub freeze_intervals: Vec<(u64, u64)>,
+    /// Network latency of each message, in both directions.
+    pub latency_ms: u64,
 }
 
 pub struct Platform {
@@ -47,15 +47,15 @@
     pub table: LeaseTable,
     pub leader: Option<Scheduler>,
     pub leader_from: u64,
-    /// When a leader was lost and when its successor started at the earliest.
+    /// Time at which each leader was lost, with the earliest start of its successor.
     pub leader_changes: Vec<(u64, u64)>,
     pub workers: Vec<SimWorker>,
     pub log: VecDeque<(u64, LeaseCommand)>,
     pub events: Vec<(u64, LeaseEvent)>,
     pub rng: ChaCha8Rng,
     incarnation: u64,
-    applied: u64,
-    scheduled: u64,
+    applied_count: u64,
+    applied_at_last_schedule: u64,
     next_schedule: u64,
 }
 
@@ -72,8 +72,8 @@
             events: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             incarnation: 1_000,
-            applied: 0,
-            scheduled: 0,
+            applied_count: 0,
+            applied_at_last_schedule: 0,
             next_schedule: 0,
         };
         for registration in workers {
@@ -83,13 +83,13 @@
                 uplink: Vec::new(),
                 downlink: Vec::new(),
                 held: None,
-                cut_until: 0,
+                disconnected_until: 0,
                 frozen_until: 0,
-                dead_until: 0,
-                lies: false,
+                off_until: 0,
+                reports_falsely: false,
                 false_reports: BTreeSet::new(),
-                freezes: Vec::new(),
-                lag_ms: 2,
+                freeze_intervals: Vec::new(),
+                latency_ms: 2,
             });
         }
         platform
@@ -99,10 +99,10 @@
         TimestampMs::new(self.now)
     }
 
-    /// Applies a command at once, as an operator's change that was logged.
+    /// Applies a command at once, as if it were already committed.
     pub fn apply(&mut self, command: LeaseCommand) -> Vec<LeaseEvent> {
         let events = self.table.apply(command);
-        self.applied += 1;
+        self.applied_count += 1;
         self.events.extend(events.iter().cloned().map(|event| (self.now, event)));
         events
     }
@@ -114,14 +114,14 @@
 
     pub fn propose(&mut self, commands: Vec<LeaseCommand>) {
         for command in commands {
-            // Entries become durable in order.
+            // Log entries become durable in order.
             let earliest = self.log.back().map_or(0, |(at, _)| *at);
             let delay = self.rng.random_range(3..20);
             self.log.push_back((earliest.max(self.now + delay), command));
         }
     }
 
-    /// The leader is gone at once; entries that are not durable may be lost.
+    /// Removes the leader at once; log entries that are not durable may be lost.
     pub fn lose_leader(&mut self, absent_ms: u64) {
         let kept = self.rng.random_range(0..=self.log.len());
         self.log.truncate(kept);
@@ -164,7 +164,7 @@
         for position in 0..self.workers.len() {
             self.step_worker(position);
         }
-        self.lead();
+        self.run_leader();
     }
 
     fn apply_log(&mut self) {
@@ -180,14 +180,14 @@
         let jitter = self.rng.random_range(0..3);
         let incarnation = Incarnation::new(self.incarnation + 1);
         let worker = &mut self.workers[position];
-        if now < worker.dead_until {
+        if now < worker.off_until {
             worker.uplink.clear();
             worker.downlink.clear();
             worker.held = None;
-            // Its tasks end with the machine; the next process has a new incarnation.
-            if worker.next_heartbeat != worker.dead_until {
+            // The tasks end with the machine, and the next process has a new incarnation.
+            if worker.next_heartbeat != worker.off_until {
                 worker.model.restart(incarnation, time);
-                worker.next_heartbeat = worker.dead_until;
+                worker.next_heartbeat = worker.off_until;
                 self.incarnation += 1;
             }
             return;
@@ -195,7 +195,7 @@
         let frozen = now < worker.frozen_until || worker.model.behaviour() == Behaviour::Frozen;
         if !frozen {
             let mut changed = worker.model.tick(time);
-            // Messages that waited in the socket of a frozen process arrive with the thaw.
+            // Messages in the socket buffer of a frozen process are received when it resumes.
             let arrived: Vec<_> = worker.downlink.extract_if(.., |(at, ..)| *at <= now).collect();
             for (_, sent_at, reply) in arrived {
                 if reply.sequence != worker.model.sequence() {
@@ -215,19 +215,19 @@
             }
             if changed || now >= worker.next_heartbeat {
                 let mut report = worker.model.heartbeat();
-                if worker.lies {
-                    worker.false_reports.extend(lie(&mut self.rng, &mut report));
+                if worker.reports_falsely {
+                    worker.false_reports.extend(falsify_report(&mut self.rng, &mut report));
                 }
                 worker.next_heartbeat = now + 3_000;
-                if now >= worker.cut_until {
-                    worker.uplink.push((now + worker.lag_ms + jitter, now, report));
+                if now >= worker.disconnected_until {
+                    worker.uplink.push((now + worker.latency_ms + jitter, now, report));
                 }
             }
         }
         self.receive(position);
     }
 
-    /// The control process: hands arrived heartbeats to the leader and holds the replies.
+    /// Acts as the control process: passes arrived heartbeats to the leader and holds the replies.
     fn receive(&mut self, position: usize) {
         let (now, time) = (self.now, self.time());
         let worker = &mut self.workers[position];
@@ -238,8 +238,8 @@
             let (reply, commands) = leader.heartbeat(&self.table, report, time);
             proposals.extend(commands);
             if reply.lease.is_none() || !reply.acknowledged.is_empty() {
-                if now >= worker.cut_until {
-                    worker.downlink.push((now + worker.lag_ms, sent_at, reply));
+                if now >= worker.disconnected_until {
+                    worker.downlink.push((now + worker.latency_ms, sent_at, reply));
                 }
             } else {
                 worker.held = Some((now, sent_at, reply));
@@ -250,26 +250,27 @@
             let due = !reply.commands.is_empty() || now >= since + 1_900;
             if !due {
                 worker.held = Some((since, sent_at, reply));
-            } else if now >= worker.cut_until {
-                worker.downlink.push((now + worker.lag_ms, sent_at, reply));
+            } else if now >= worker.disconnected_until {
+                worker.downlink.push((now + worker.latency_ms, sent_at, reply));
             }
         }
         self.propose(proposals);
     }
 
-    fn lead(&mut self) {
+    fn run_leader(&mut self) {
         let time = self.time();
         let Some(leader) = &mut self.leader else { return };
         if !self.log.is_empty() {
             return;
         }
         let deadline = leader.next_deadline(&self.table, time);
-        let quiet = self.applied == self.scheduled && self.next_schedule > self.now;
-        if quiet {
+        let idle =
+            self.applied_count == self.applied_at_last_schedule && self.next_schedule > self.now;
+        if idle {
             return;
         }
-        self.scheduled = self.applied;
-        // Aging and starvation pass with time alone, so a second is the longest wait.
+        self.applied_at_last_schedule = self.applied_count;
+        // Aging and starvation depend on time alone, so scheduling runs at least once a second.
         self.next_schedule = deadline.get().min(self.now + 1_000);
         let commands = leader.schedule(&self.table, time);
         self.propose(commands);
@@ -279,14 +280,14 @@
         self.table.explain(job).status
     }
 
-    /// Every start of a job's tasks on any worker.
+    /// Returns every start of a task of the job, on any worker.
     pub fn starts(&self, job: &JobName) -> Vec<&yuccatack_stand_ins::TaskRecord> {
         let records = self.workers.iter().flat_map(|worker| worker.model.records());
         records.filter(|record| record.task.job == *job).collect()
     }
 
-    /// Accelerators given to a second task, except after a false report about the first one: no
-    /// scheduler can see through a worker that reports the end of a task that it holds.
+    /// Returns the accelerators assigned to a second task, except after a false report about the
+    /// first one: no scheduler can detect a worker that reports the end of a task that it holds.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for worker in &self.workers {
@@ -301,9 +302,9 @@
     }
 }
 
-/// Changes some states in a report to others, as a faulty worker does. It never claims that a
-/// running task has ended, because the platform's lease is the only protection against that.
-fn lie(rng: &mut ChaCha8Rng, report: &mut HeartbeatReport) -> Vec<TaskReference> {
+/// Falsifies some states in a report, as a faulty worker does. Running tasks are never reported as
+/// ended, because only the lease protects the platform against that.
+fn falsify_report(rng: &mut ChaCha8Rng, report: &mut HeartbeatReport) -> Vec<TaskReference> {
     let mut changed = Vec::new();
     for task in &mut report.tasks {
         if task.state == ReportedState::Prepared && rng.random_bool(0.3) {
--- a/crates/yuccatack_leases/tests/table_snapshot.rs
+++ b/crates/yuccatack_leases/tests/table_snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot restores the whole table.
+//! Tests that a snapshot restores the lease table.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -7,7 +7,7 @@
 use yuccatack_core::prelude::*;
 use yuccatack_leases::*;
 
-/// Guards against state that a snapshot leaves out, after which replicas would diverge.
+/// Guards against state that a snapshot omits, so that a replica restored from it diverges.
 #[test]
 fn whole_table() {
     let mut platform = Platform::new(7, workers(6, 2));
