--- a/crates/yuccatack_leases/examples/decision_time/main.rs
+++ b/crates/yuccatack_leases/examples/decision_time/main.rs
@@ -1,4 +1,4 @@
-//! Measures the time of one decision and the memory of the lease table.
+//! Measures the time of one scheduling decision and the memory of the lease table.
 //!
 //! `cargo run --release --package yuccatack_leases --example decision_time`
 #![allow(clippy::print_stdout, missing_docs)]
@@ -13,30 +13,30 @@
 use yuccatack_core::prelude::*;
 use yuccatack_leases::*;
 
-/// Counts allocated bytes.
-struct Counting;
+/// Global allocator that counts the allocated bytes.
+struct CountingAllocator;
 
 static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call is passed on to the system allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded unchanged to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `dealloc`.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-const DECISIONS: u64 = 500;
+const DECISION_COUNT: u64 = 500;
 
 fn main() {
     println!("time of one decision in microseconds; one job waits, the others run");
@@ -91,8 +91,8 @@
         self.table.apply(LeaseCommand::SubmitJob { job, at });
     }
 
-    /// Applies what the leader decides, and confirms and starts what it placed.
-    fn settle(&mut self, commands: Vec<LeaseCommand>) {
+    /// Applies the placements that the leader decided, and confirms and starts their attempts.
+    fn apply_and_start(&mut self, commands: Vec<LeaseCommand>) {
         let at = self.at();
         for command in commands {
             let LeaseCommand::BeginAttempt(begin) = command else { continue };
@@ -110,13 +110,13 @@
         }
     }
 
-    fn fill(&mut self) {
+    fn place_waiting_jobs(&mut self) {
         loop {
             let commands = self.leader.schedule(&self.table, self.at());
             if !commands.iter().any(|command| matches!(command, LeaseCommand::BeginAttempt(_))) {
                 return;
             }
-            self.settle(commands);
+            self.apply_and_start(commands);
         }
     }
 }
@@ -146,13 +146,13 @@
         };
         driver.table.apply(LeaseCommand::SetGuarantee(guarantee));
     }
-    let wanted_tasks = worker_count * 53_000 / 9_300;
+    let target_task_count = worker_count * 53_000 / 9_300;
     let before_jobs = ALLOCATED_BYTES.load(Ordering::Relaxed);
     let (mut tasks, mut jobs) = (0, 0);
-    let wanted_accelerators = worker_count * 14_000 / 9_300 * 8 / 10;
+    let target_accelerator_count = worker_count * 14_000 / 9_300 * 8 / 10;
     let mut accelerators = 0;
-    while tasks < wanted_tasks {
-        let with_accelerator = accelerators < wanted_accelerators && rng.random_bool(0.3);
+    while tasks < target_task_count {
+        let with_accelerator = accelerators < target_accelerator_count && rng.random_bool(0.3);
         let task_count = [1, 1, 2, 4, 8, 16][rng.random_range(0..6)].min(worker_count as u32 / 4);
         let count = u32::from(with_accelerator);
         accelerators += (task_count * count) as usize;
@@ -161,14 +161,15 @@
         driver.submit_numbered(&mut jobs, organisations, shape);
         tasks += task_count as usize;
         if jobs % 64 == 0 {
-            driver.fill();
+            driver.place_waiting_jobs();
         }
     }
-    driver.fill();
+    driver.place_waiting_jobs();
     let after_jobs = ALLOCATED_BYTES.load(Ordering::Relaxed);
     let waiting = driver.table.waiting_job_count();
     println!(
-        "{worker_count} workers, {tasks} tasks in {jobs} jobs ({waiting} wait), {} accelerators free",
+        "{worker_count} workers, {tasks} tasks in {jobs} jobs ({waiting} wait), \
+         {} accelerators free",
         driver.table.cluster().free_accelerator_count()
     );
     println!(
@@ -201,8 +202,8 @@
         }
     }
 
-    /// Times rounds in which the oldest job is a starved gang that does not fit: searches,
-    /// reservations and plans of moves, with one small job arriving in each round.
+    /// Measures scheduling rounds in which the oldest job is a starved gang that does not fit. They
+    /// include searches, reservations and plans of moves; one small job arrives in each round.
     fn time_starved(&mut self, task_count: u32) {
         let Ok(mut round) = Histogram::<u64>::new(3) else { return };
         let shape = Shape { task_count, task: resources(8, 32, 1), adjacency: Adjacency::Rack };
@@ -213,9 +214,9 @@
                 self.submit(job);
             }
         }
-        self.fill();
+        self.place_waiting_jobs();
         let waiting = self.table.waiting_job_count();
-        for number in 0..DECISIONS {
+        for number in 0..DECISION_COUNT {
             self.now += 1_000;
             let small =
                 Shape { task_count: 1, task: resources(1, 1, 1), adjacency: Adjacency::Worker };
@@ -227,8 +228,8 @@
             let commands = self.leader.schedule(&self.table, at);
             let nanoseconds = u64::try_from(start.elapsed().as_nanos()).unwrap_or(u64::MAX);
             let _ = round.record(nanoseconds);
-            // Losses of silent workers are left out: nothing sends heartbeats here.
-            self.settle(commands);
+            // Losses of workers are not applied, because no worker sends heartbeats here.
+            self.apply_and_start(commands);
         }
         println!(
             "  round with {waiting} starved gangs of {task_count}: p50 {} p99 {} max {}",
@@ -238,7 +239,7 @@
         );
     }
 
-    /// Measures the memory of waiting jobs, and the cancellation of all of them in one command.
+    /// Measures the memory of waiting jobs and the time to cancel all of them in one command.
     fn time_waiting_memory(&mut self) {
         const COUNT: usize = 5_000;
         let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
@@ -257,7 +258,7 @@
         println!("  {bytes} bytes a waiting job; {COUNT} cancellations in one command: {elapsed}");
     }
 
-    /// Times the handling of one heartbeat of every worker.
+    /// Measures the time to handle one heartbeat of each worker.
     fn time_heartbeats(&mut self) {
         let Ok(mut handling) = Histogram::<u64>::new(3) else { return };
         let mut leader = Scheduler::new(self.at());
@@ -289,13 +290,13 @@
         );
     }
 
-    /// Times the decision for one new job, and the log entry that carries it out.
+    /// Measures the time to decide on one new job and the time to apply the decision.
     fn time_decisions(&mut self, name: &str, shape: Shape) {
-        let Ok(mut decide) = Histogram::<u64>::new(3) else { return };
-        let Ok(mut carry_out) = Histogram::<u64>::new(3) else { return };
+        let Ok(mut decision_time) = Histogram::<u64>::new(3) else { return };
+        let Ok(mut apply_time) = Histogram::<u64>::new(3) else { return };
         let mut placed = 0;
-        for number in 0..DECISIONS {
-            // No time passes, so that only the new job is searched for.
+        for number in 0..DECISION_COUNT {
+            // The clock stands still, so that only the new job is searched for.
             let text = format!("measured-{}-{}-{number}", shape.task_count, name.len());
             let Some(job) = job(&text, number as usize % 11, shape) else { return };
             let job_name = job.name.clone();
@@ -304,17 +305,17 @@
             let start = Instant::now();
             let commands = self.leader.schedule(&self.table, at);
             let nanoseconds = u64::try_from(start.elapsed().as_nanos()).unwrap_or(u64::MAX);
-            let _ = decide.record(nanoseconds);
+            let _ = decision_time.record(nanoseconds);
             for command in commands {
                 if matches!(command, LeaseCommand::BeginAttempt(_)) {
                     placed += 1;
                     let start = Instant::now();
                     self.table.apply(command);
                     let nanoseconds = u64::try_from(start.elapsed().as_nanos()).unwrap_or(u64::MAX);
-                    let _ = carry_out.record(nanoseconds);
+                    let _ = apply_time.record(nanoseconds);
                 }
             }
-            // The job ends again, so that every decision meets the same state.
+            // The job is ended, so that every decision starts from the same state.
             self.table.apply(LeaseCommand::CancelJobs { jobs: vec![job_name.clone()], at });
             let epoch = FencingEpoch::new(1);
             for index in 0..shape.task_count {
@@ -326,12 +327,13 @@
             histogram.value_at_quantile(quantile) as f64 / 1_000.0
         };
         println!(
-            "  {name:24} placed {placed}/{DECISIONS}; decide p50 {:.0} p99 {:.0} max {:.0}; apply p50 {:.0} p99 {:.0}",
-            micros(&decide, 0.5),
-            micros(&decide, 0.99),
-            micros(&decide, 1.0),
-            micros(&carry_out, 0.5),
-            micros(&carry_out, 0.99),
+            "  {name:24} placed {placed}/{DECISION_COUNT}; decide p50 {:.0} p99 {:.0} max {:.0}; \
+             apply p50 {:.0} p99 {:.0}",
+            micros(&decision_time, 0.5),
+            micros(&decision_time, 0.99),
+            micros(&decision_time, 1.0),
+            micros(&apply_time, 0.5),
+            micros(&apply_time, 0.99),
         );
     }
 }
--- a/crates/yuccatack_leases/examples/replay/engine.rs
+++ b/crates/yuccatack_leases/examples/replay/engine.rs
@@ -1,4 +1,4 @@
-//! Replays a scenario through the decision code on a virtual clock.
+//! Replays a scenario through the scheduler on a virtual clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,37 +9,37 @@
 
 use crate::mix::{ARRIVAL_MS, Fault, Scenario};
 
-/// A message and its handling take this long; every strategy pays it alike.
+/// Time for the delivery and handling of a message, the same for every strategy.
 const STEP_MS: u64 = 50;
 const HEARTBEAT_MS: u64 = 3_000;
 const SAMPLE_MS: u64 = 10_000;
-/// After the last arrival the run goes on this long, so that the backlog drains.
+/// Time for which the run continues after the last arrival, so that the backlog drains.
 const DRAIN_MS: u64 = 6 * 3_600_000;
 
-/// What one run showed.
+/// Measurements of one run.
 #[derive(Default)]
 pub struct Outcome {
-    /// Submission to success, in seconds, of urgent jobs.
+    /// Time from submission to success of urgent jobs, in seconds.
     pub urgent_completion_s: Vec<f64>,
-    /// Submission to first start of urgent jobs.
+    /// Time from submission to the first start of urgent jobs, in seconds.
     pub urgent_start_s: Vec<f64>,
-    /// Decision to start of urgent jobs that had to reclaim.
+    /// Time from decision to start of jobs whose claim had to reclaim capacity, in seconds.
     pub reclaim_s: Vec<f64>,
-    /// Submission to first start of gangs.
+    /// Time from submission to the first start of gangs, in seconds.
     pub gang_wait_s: Vec<f64>,
-    /// Submission to success of everything else.
+    /// Time from submission to success of all other jobs, in seconds.
     pub other_completion_s: Vec<f64>,
-    /// Samples of free accelerators, of which the gangs' shapes cannot use some.
+    /// Samples of the number of free accelerators.
     pub free: Vec<f64>,
-    /// Samples of the free accelerators that cannot serve the gangs' shapes.
+    /// Samples of the number of free accelerators that cannot serve the shapes of the gangs.
     pub unusable: Vec<f64>,
-    /// Samples of the free accelerators that whole gangs leave over.
+    /// Samples of the number of free accelerators left after packing complete gangs.
     pub remainder: Vec<f64>,
-    /// Moves by checkpoint.
+    /// Number of attempts moved by checkpoint.
     pub move_count: u64,
-    /// Samples of the share of accelerators in use.
+    /// Samples of the share of accelerators in use, from 0 to 1.
     pub utilisation: Vec<f64>,
-    /// Jobs that did not finish.
+    /// Number of jobs that did not succeed, cancelled ones excluded.
     pub unfinished: usize,
 }
 
@@ -85,24 +85,24 @@
                     }
                 }
                 LeaseEvent::AttemptStopping(_, _, StopReason::Moved) => self.move_count += 1,
-                // A checkpoint keeps the work, so the next attempt is shorter.
-                LeaseEvent::JobRequeued(job) => self.shorten(&job.clone()),
+                // A checkpoint saves the progress, so the next attempt runs for a shorter time.
+                LeaseEvent::JobRequeued(job) => self.reduce_remaining_run_time(&job.clone()),
                 _ => {}
             }
         }
         events
     }
 
-    fn shorten(&mut self, name: &JobName) {
+    fn reduce_remaining_run_time(&mut self, name: &JobName) {
         let Some(job) = self.table.job(name) else { return };
         if job.saved_run_time_ms <= self.progress.get(name).copied().unwrap_or_default() {
             return;
         }
         self.progress.insert(name.clone(), job.saved_run_time_ms);
-        let whole = self.run_times.get(name).copied().unwrap_or_default();
-        let left = DurationMs::new(whole.saturating_sub(job.saved_run_time_ms).max(1_000));
+        let total = self.run_times.get(name).copied().unwrap_or_default();
+        let remaining = DurationMs::new(total.saturating_sub(job.saved_run_time_ms).max(1_000));
         for worker in &mut self.workers {
-            worker.set_run_time(name, left);
+            worker.set_run_time(name, remaining);
         }
     }
 
@@ -121,8 +121,9 @@
         }
     }
 
-    /// One round: due heartbeats, decisions, and heartbeats of workers with commands.
-    fn round(&mut self) -> bool {
+    /// Processes due heartbeats and heartbeats of workers with commands, then schedules. Returns
+    /// `false` when there was nothing to do.
+    fn run_round(&mut self) -> bool {
         let time = self.time();
         let mut due = BTreeSet::new();
         for (position, worker) in self.workers.iter().enumerate() {
@@ -138,7 +139,7 @@
         }
         for position in &due {
             self.heartbeat(*position);
-            // The second heartbeat reports what the commands changed.
+            // The second heartbeat reports the results of the commands.
             self.heartbeat(*position);
         }
         let commands = self.leader.schedule(&self.table, time);
@@ -150,7 +151,7 @@
     }
 }
 
-/// Runs `scenario` with one strategy.
+/// Runs `scenario` with one strategy and returns its measurements.
 pub fn replay(scenario: &Scenario, strategy: Strategy) -> Outcome {
     let count = scenario.workers.len();
     let models = scenario
@@ -178,7 +179,7 @@
         engine.heartbeat(position);
         engine.heartbeat(position);
     }
-    // The baselines know no guarantees.
+    // The baselines do not support guarantees.
     if strategy == Strategy::Policy {
         for guarantee in &scenario.guarantees {
             let events = engine.apply(LeaseCommand::SetGuarantee(guarantee.clone()));
@@ -218,8 +219,8 @@
             let at = engine.time();
             engine.apply(LeaseCommand::CancelJobs { jobs, at });
         }
-        faults(&mut engine, scenario, elapsed);
-        let busy = engine.round();
+        inject_faults(&mut engine, scenario, elapsed);
+        let busy = engine.run_round();
         if engine.now >= next_sample {
             next_sample += SAMPLE_MS;
             if elapsed <= ARRIVAL_MS {
@@ -234,7 +235,7 @@
         }
         engine.now = next_time(&engine, scenario, next_arrival, origin, next_sample, busy);
     }
-    collect(&engine, scenario, origin, &mut outcome);
+    collect_outcome(&engine, scenario, origin, &mut outcome);
     outcome
 }
 
@@ -262,7 +263,7 @@
     next.max(engine.now + STEP_MS)
 }
 
-fn faults(engine: &mut Engine, scenario: &Scenario, elapsed: u64) {
+fn inject_faults(engine: &mut Engine, scenario: &Scenario, elapsed: u64) {
     for fault in &scenario.faults {
         match fault {
             Fault::Failing(position, from, to) => {
@@ -298,7 +299,7 @@
     outcome.utilisation.push(1.0 - free / 88.0);
 }
 
-fn collect(engine: &Engine, scenario: &Scenario, origin: u64, outcome: &mut Outcome) {
+fn collect_outcome(engine: &Engine, scenario: &Scenario, origin: u64, outcome: &mut Outcome) {
     outcome.reclaim_s = engine.reclaim_s.clone();
     outcome.move_count = engine.move_count;
     for arrival in &scenario.arrivals {
--- a/crates/yuccatack_leases/examples/replay/main.rs
+++ b/crates/yuccatack_leases/examples/replay/main.rs
@@ -1,4 +1,4 @@
-//! Replays seeded arrival lists through the policy and both baselines.
+//! Replays seeded job arrivals with the policy and with both baselines.
 //!
 //! `cargo run --release --package yuccatack_leases --example replay [timing|lending] [LOAD]`;
 //! `YUCCATACK_SEED` and `YUCCATACK_SEED_COUNT` choose the seeds.
@@ -41,7 +41,7 @@
     ("unfinished jobs", |o| o.unfinished as f64),
 ];
 
-fn number(name: &str, default: u64) -> u64 {
+fn environment_number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
@@ -52,8 +52,8 @@
         _ => Deployment::Timing,
     };
     let load: f64 = arguments.next().and_then(|text| text.parse().ok()).unwrap_or(1.0);
-    let first = number("YUCCATACK_SEED", 1);
-    let seeds = first..first + number("YUCCATACK_SEED_COUNT", 20);
+    let first = environment_number("YUCCATACK_SEED", 1);
+    let seeds = first..first + environment_number("YUCCATACK_SEED_COUNT", 20);
     let strategies = [Strategy::Policy, Strategy::FirstFit, Strategy::BestFit];
     let handles: Vec<_> = strategies
         .into_iter()
@@ -86,20 +86,20 @@
     compare(&results);
 }
 
-/// Counts the seeds in which the policy reaches each target.
+/// Prints for each target the number of seeds in which the policy reaches it.
 fn compare(results: &[Vec<Outcome>]) {
-    let [policy, first, best] = results else { return };
+    let [policy, first_fit, best_fit] = results else { return };
     let count = |reached: &dyn Fn(usize) -> bool| (0..policy.len()).filter(|i| reached(*i)).count();
     let urgent_mean = |o: &Outcome| mean(&o.urgent_completion_s);
     let urgent_p99 = |o: &Outcome| quantile(&o.urgent_completion_s, 0.99);
-    let fragmented = |o: &Outcome| mean(&o.unusable) / mean(&o.free);
+    let fragmentation = |o: &Outcome| mean(&o.unusable) / mean(&o.free);
     println!(
-        "of {} seeds: urgent mean at least 30% below first fit in {}, urgent p99 no later than best \
-         fit in {} and than first fit in {}, fragmentation at most half of first fit in {}",
+        "of {} seeds: urgent mean at least 30% below first fit in {}, urgent p99 no later than \
+         best fit in {} and than first fit in {}, fragmentation at most half of first fit in {}",
         policy.len(),
-        count(&|i| urgent_mean(&policy[i]) <= 0.7 * urgent_mean(&first[i])),
-        count(&|i| urgent_p99(&policy[i]) <= urgent_p99(&best[i])),
-        count(&|i| urgent_p99(&policy[i]) <= urgent_p99(&first[i])),
-        count(&|i| fragmented(&policy[i]) <= 0.5 * fragmented(&first[i])),
+        count(&|i| urgent_mean(&policy[i]) <= 0.7 * urgent_mean(&first_fit[i])),
+        count(&|i| urgent_p99(&policy[i]) <= urgent_p99(&best_fit[i])),
+        count(&|i| urgent_p99(&policy[i]) <= urgent_p99(&first_fit[i])),
+        count(&|i| fragmentation(&policy[i]) <= 0.5 * fragmentation(&first_fit[i])),
     );
 }
--- a/crates/yuccatack_leases/examples/replay/mix.rs
+++ b/crates/yuccatack_leases/examples/replay/mix.rs
@@ -1,24 +1,24 @@
-//! Seeded arrival lists of the two deployments.
+//! Seeded job arrivals of the two deployments.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use yuccatack_core::prelude::*;
 use yuccatack_leases::{GuaranteeSpec, JobSpec, WorkerRegistration};
 
-/// How long jobs arrive.
+/// Time during which jobs arrive.
 pub const ARRIVAL_MS: u64 = 6 * 3_600_000;
 const MINUTE_MS: u64 = 60_000;
 
-/// The two deployments.
+/// Deployment whose mix of jobs is replayed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Deployment {
-    /// Triathlon results.
+    /// Timing of triathlons: small urgent jobs, and gangs within a data centre.
     Timing,
-    /// Credit reviews.
+    /// Review of credit applications: small urgent jobs, and gangs mostly within a rack.
     Lending,
 }
 
-/// A job with its true run time and what its caller does.
+/// Arrival of a job, with its actual run time and the time of its cancellation, if any.
 pub struct Arrival {
     pub at: u64,
     pub job: JobSpec,
@@ -26,21 +26,21 @@
     pub cancelled_at: Option<u64>,
 }
 
-/// Something that happens to workers.
+/// Fault of one or several workers.
 pub enum Fault {
-    /// Every task on this worker fails from the first time to the second.
+    /// Every task on this worker fails between the two times.
     Failing(usize, u64, u64),
-    /// These workers are off from the first time to the second.
+    /// These workers are powered off between the two times.
     Off(Vec<usize>, u64, u64),
 }
 
-/// Everything that happens in one run.
+/// Workers, guarantees, arrivals and faults of one run.
 pub struct Scenario {
     pub workers: Vec<WorkerRegistration>,
     pub guarantees: Vec<GuaranteeSpec>,
     pub arrivals: Vec<Arrival>,
     pub faults: Vec<Fault>,
-    /// Shapes by which fragmentation is measured, for every strategy alike.
+    /// Weighted shapes by which fragmentation is measured, the same for every strategy.
     pub measured: Vec<(Shape, f64)>,
 }
 
@@ -56,7 +56,7 @@
     arrivals: Vec<Arrival>,
 }
 
-struct Kind {
+struct JobKind {
     prefix: &'static str,
     class: PriorityClass,
     idempotent: bool,
@@ -64,14 +64,14 @@
 }
 
 impl Builder {
-    fn add(&mut self, at: u64, kind: &Kind, shape: Shape, run_time_ms: u64) {
+    fn add(&mut self, at: u64, kind: &JobKind, shape: Shape, run_time_ms: u64) {
         let number = self.arrivals.len();
-        let owner = ["north", "south", "east", "west"][[0, 0, 0, 1, 1, 2, 3][number % 7]];
-        // Declared times are off by up to ten times.
+        let organisation = ["north", "south", "east", "west"][[0, 0, 0, 1, 1, 2, 3][number % 7]];
+        // Declared run times are off by a factor of up to 10 in either direction.
         let factor = 10f64.powf(self.rng.random_range(-1.0..1.0));
         let declared = (run_time_ms as f64 / 1000.0 * factor).max(1.0) as u64;
         let Ok(name) = JobName::new(&format!("{}-{number:05}", kind.prefix)) else { return };
-        let Ok(organisation) = OrganisationName::new(owner) else { return };
+        let Ok(organisation) = OrganisationName::new(organisation) else { return };
         let job = JobSpec {
             name,
             organisation,
@@ -85,8 +85,8 @@
         self.arrivals.push(Arrival { at, job, run_time_ms, cancelled_at: None });
     }
 
-    /// Poisson arrivals with this mean gap.
-    fn stream<Make>(&mut self, mean_gap_ms: f64, make: Make)
+    /// Adds Poisson arrivals with the given mean gap.
+    fn add_poisson_arrivals<Make>(&mut self, mean_gap_ms: f64, make: Make)
     where
         Make: Fn(&mut Self, u64),
     {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Bursts of `count` within a minute, `burst_count` times.
-    fn bursts<Make>(&mut self, burst_count: u64, count: u64, make: Make)
+    /// Adds `burst_count` bursts of `count` arrivals within a minute each.
+    fn add_bursts<Make>(&mut self, burst_count: u64, count: u64, make: Make)
     where
         Make: Fn(&mut Self, u64),
     {
@@ -115,45 +115,45 @@
     }
 }
 
-const RANKING: Kind = Kind {
+const URGENT_KIND: JobKind = JobKind {
     prefix: "urgent",
     class: PriorityClass::Urgent,
     idempotent: true,
     checkpointable: false,
 };
-const SINGLE: Kind = Kind {
+const SINGLE_KIND: JobKind = JobKind {
     prefix: "single",
     class: PriorityClass::Standard,
     idempotent: true,
     checkpointable: true,
 };
-const FRAGILE: Kind = Kind {
+const NON_REPEATABLE_KIND: JobKind = JobKind {
     prefix: "fragile",
     class: PriorityClass::Standard,
     idempotent: false,
     checkpointable: false,
 };
-const GANG: Kind =
-    Kind { prefix: "gang", class: PriorityClass::Batch, idempotent: true, checkpointable: true };
+const GANG_KIND: JobKind =
+    JobKind { prefix: "gang", class: PriorityClass::Batch, idempotent: true, checkpointable: true };
 
-fn urgent(builder: &mut Builder, at: u64, largest: u32, seconds: std::ops::Range<u64>) {
+fn add_urgent(builder: &mut Builder, at: u64, largest: u32, seconds: std::ops::Range<u64>) {
     let tasks = builder.rng.random_range(1..=2);
     let accelerators = builder.rng.random_range(1..=largest);
     let run_time_ms = 1000 * builder.rng.random_range(seconds);
-    builder.add(at, &RANKING, shape(tasks, accelerators, Adjacency::Rack), run_time_ms);
+    builder.add(at, &URGENT_KIND, shape(tasks, accelerators, Adjacency::Rack), run_time_ms);
 }
 
-fn single(builder: &mut Builder, at: u64) {
+fn add_single(builder: &mut Builder, at: u64) {
     let accelerators = [1, 1, 1, 2, 2, 3, 4][builder.rng.random_range(0..7)];
     let run_time_ms = 1000 * builder.rng.random_range(60..1_500);
-    let kind = if builder.rng.random_bool(0.15) { &FRAGILE } else { &SINGLE };
+    let kind = if builder.rng.random_bool(0.15) { &NON_REPEATABLE_KIND } else { &SINGLE_KIND };
     builder.add(at, kind, shape(1, accelerators, Adjacency::Worker), run_time_ms);
 }
 
-fn gang(builder: &mut Builder, at: u64, shapes: &[Shape], minutes: std::ops::Range<u64>) {
+fn add_gang(builder: &mut Builder, at: u64, shapes: &[Shape], minutes: std::ops::Range<u64>) {
     let chosen = shapes[builder.rng.random_range(0..shapes.len())];
     let run_time_ms = MINUTE_MS * builder.rng.random_range(minutes);
-    builder.add(at, &GANG, chosen, run_time_ms);
+    builder.add(at, &GANG_KIND, chosen, run_time_ms);
 }
 
 fn workers(data_centres: &[&str]) -> Vec<WorkerRegistration> {
@@ -171,17 +171,22 @@
         .collect()
 }
 
-fn guarantee(name: &str, owner: &str, shape: Shape, shape_count: u32) -> Option<GuaranteeSpec> {
+fn guarantee(
+    name: &str,
+    organisation: &str,
+    shape: Shape,
+    shape_count: u32,
+) -> Option<GuaranteeSpec> {
     Some(GuaranteeSpec {
         name: RecordName::new(name).ok()?,
-        organisation: OrganisationName::new(owner).ok()?,
+        organisation: OrganisationName::new(organisation).ok()?,
         shape,
         shape_count,
         data_centres: Vec::new(),
     })
 }
 
-/// The run of one seed.
+/// Builds the scenario of one seed.
 pub fn scenario(deployment: Deployment, seed: u64, load: f64) -> Scenario {
     let mut builder = Builder { rng: ChaCha8Rng::seed_from_u64(seed), arrivals: Vec::new() };
     let owners = ["north", "south", "east", "west"];
@@ -193,14 +198,15 @@
                 shape(2, 8, Adjacency::DataCentre),
                 shape(8, 2, Adjacency::DataCentre),
             ];
-            builder.stream(25_000.0 / load, |b, at| urgent(b, at, 2, 20..90));
-            builder.bursts(8, 40, |b, at| urgent(b, at, 2, 20..90));
-            builder.stream(45_000.0 / load, single);
-            builder.bursts(3, 30, single);
-            builder.stream(1_100_000.0 / load, |b, at| gang(b, at, &gangs, 10..60));
-            builder.bursts(1, 6, |b, at| gang(b, at, &gangs, 10..60));
-            let centres = ["putrajaya", "langkawi", "desaru", "port-dickson"];
-            (workers(&centres), gangs, shape(2, 2, Adjacency::Rack), 2)
+            builder.add_poisson_arrivals(25_000.0 / load, |b, at| add_urgent(b, at, 2, 20..90));
+            builder.add_bursts(8, 40, |b, at| add_urgent(b, at, 2, 20..90));
+            builder.add_poisson_arrivals(45_000.0 / load, add_single);
+            builder.add_bursts(3, 30, add_single);
+            builder
+                .add_poisson_arrivals(1_100_000.0 / load, |b, at| add_gang(b, at, &gangs, 10..60));
+            builder.add_bursts(1, 6, |b, at| add_gang(b, at, &gangs, 10..60));
+            let data_centre_names = ["putrajaya", "langkawi", "desaru", "port-dickson"];
+            (workers(&data_centre_names), gangs, shape(2, 2, Adjacency::Rack), 2)
         }
         Deployment::Lending => {
             let gangs = vec![
@@ -209,34 +215,37 @@
                 shape(4, 4, Adjacency::Rack),
                 shape(5, 4, Adjacency::DataCentre),
             ];
-            builder.stream(15_000.0 / load, |b, at| urgent(b, at, 1, 10..60));
-            builder.bursts(8, 30, |b, at| urgent(b, at, 1, 10..60));
-            builder.stream(40_000.0 / load, single);
-            builder.bursts(3, 30, single);
-            builder.stream(1_400_000.0 / load, |b, at| gang(b, at, &gangs, 10..60));
-            builder.bursts(1, 5, |b, at| gang(b, at, &gangs, 10..60));
-            let centres = ["santiago", "valparaiso", "rancagua"];
-            (workers(&centres), gangs, shape(2, 1, Adjacency::Rack), 2)
+            builder.add_poisson_arrivals(15_000.0 / load, |b, at| add_urgent(b, at, 1, 10..60));
+            builder.add_bursts(8, 30, |b, at| add_urgent(b, at, 1, 10..60));
+            builder.add_poisson_arrivals(40_000.0 / load, add_single);
+            builder.add_bursts(3, 30, add_single);
+            builder
+                .add_poisson_arrivals(1_400_000.0 / load, |b, at| add_gang(b, at, &gangs, 10..60));
+            builder.add_bursts(1, 5, |b, at| add_gang(b, at, &gangs, 10..60));
+            let data_centre_names = ["santiago", "valparaiso", "rancagua"];
+            (workers(&data_centre_names), gangs, shape(2, 1, Adjacency::Rack), 2)
         }
     };
     let mut guarantees: Vec<GuaranteeSpec> = owners
         .iter()
-        .filter_map(|owner| {
-            guarantee(&format!("urgent-{owner}"), owner, urgent_shape, urgent_count)
+        .filter_map(|organisation| {
+            guarantee(&format!("urgent-{organisation}"), organisation, urgent_shape, urgent_count)
         })
         .collect();
     guarantees.extend(guarantee("gang-north", "north", shape(2, 8, Adjacency::Rack), 1));
-    // A cancellation burst: batch work that its owner withdraws ten minutes later.
+    // A burst of jobs that are all cancelled ten minutes later.
     let burst_at = builder.rng.random_range(0..ARRIVAL_MS / 2);
     let first = builder.arrivals.len();
     for _ in 0..300 {
-        single(&mut builder, burst_at);
+        add_single(&mut builder, burst_at);
     }
     for arrival in &mut builder.arrivals[first..] {
         arrival.cancelled_at = Some(burst_at + 10 * MINUTE_MS);
     }
-    // Jobs that can never run.
-    builder.stream(3_600_000.0, |b, at| b.add(at, &GANG, shape(9, 8, Adjacency::Rack), 1_000));
+    // Jobs that exceed every rack and can never run.
+    builder.add_poisson_arrivals(3_600_000.0, |b, at| {
+        b.add(at, &GANG_KIND, shape(9, 8, Adjacency::Rack), 1_000)
+    });
     builder.arrivals.sort_by_key(|arrival| arrival.at);
     let failing = builder.rng.random_range(0..11);
     let failing_at = builder.rng.random_range(0..ARRIVAL_MS);
--- a/crates/yuccatack_leases/src/scheduling_pass.rs
+++ b/crates/yuccatack_leases/src/scheduling_pass.rs
@@ -127,8 +127,8 @@
     pub(crate) overlay: Overlay<'a>,
     pub(crate) guarantees: FastHashMap<&'a OrganisationName, Vec<&'a GuaranteeEntry>>,
     pub(crate) claimed: FastHashSet<(&'a RecordName, u32)>,
-    pub(crate) held: FastHashMap<&'a OrganisationName, u64>,
-    pub(crate) failed: FastHashSet<(Shape, bool, bool)>,
+    pub(crate) decided_accelerator_counts: FastHashMap<&'a OrganisationName, u64>,
+    pub(crate) failed_searches: FastHashSet<(Shape, bool, bool)>,
     pub(crate) profile: DemandProfile,
     pub(crate) reservation: Option<Reservation>,
     pub(crate) search_count: usize,
@@ -156,8 +156,8 @@
             overlay: Overlay::new(&table.cluster),
             guarantees,
             claimed: FastHashSet::default(),
-            held: FastHashMap::default(),
-            failed: FastHashSet::default(),
+            decided_accelerator_counts: FastHashMap::default(),
+            failed_searches: FastHashSet::default(),
             profile: profile(table, demand),
             reservation: None,
             search_count: 0,
@@ -205,12 +205,12 @@
                 continue;
             }
             let key = (job.spec.shape, false, false);
-            if self.commands.len() >= MAX_DECISIONS || self.failed.contains(&key) {
+            if self.commands.len() >= MAX_DECISIONS || self.failed_searches.contains(&key) {
                 continue;
             }
             match find(&self.overlay, &job.spec.shape) {
                 Some(placement) => self.decide(name, job, placement.assignments, None),
-                None => drop(self.failed.insert(key)),
+                None => drop(self.failed_searches.insert(key)),
             }
         }
     }
@@ -271,7 +271,8 @@
 
     fn held_count(&self, organisation: &OrganisationName) -> u64 {
         let table = self.table.organisations.get(organisation);
-        let decided = self.held.get(organisation).copied().unwrap_or_default();
+        let decided =
+            self.decided_accelerator_counts.get(organisation).copied().unwrap_or_default();
         decided + table.map_or(0, |entry| entry.held_accelerator_count)
     }
 
@@ -320,7 +321,7 @@
         }
         self.reservation = scheduler.starved.as_ref().map(|holder| holder.reservation.clone());
         // The search above ran without the reservation, and cached failures depend on it.
-        self.failed.clear();
+        self.failed_searches.clear();
     }
 
     fn try_place(&mut self, name: &'a JobName) -> bool {
@@ -385,13 +386,13 @@
             .reservation
             .is_some_and(|reservation| reservation.bars(request.expected_end, request.yields));
         let key = (request.shape, request.holding == Holding::Firm, barred);
-        if self.failed.contains(&key) {
+        if self.failed_searches.contains(&key) {
             return None;
         }
         let found = place(&self.overlay, &request);
         self.search_count += 1;
         if found.is_none() && excluded.is_empty() {
-            self.failed.insert(key);
+            self.failed_searches.insert(key);
         }
         found
     }
@@ -436,7 +437,8 @@
                 }
             }
         }
-        *self.held.entry(&job.spec.organisation).or_default() += job.spec.accelerator_count();
+        *self.decided_accelerator_counts.entry(&job.spec.organisation).or_default() +=
+            job.spec.accelerator_count();
         let assignments =
             self.with_worker_names(parts.iter().map(|part| (part.worker, part.task_count)));
         self.commands.push(LeaseCommand::BeginAttempt(BeginAttempt {
