--- a/crates/yuccatack_leases/src/attempt.rs
+++ b/crates/yuccatack_leases/src/attempt.rs
@@ -105,11 +105,11 @@
         let (worker, mask) = (slot.worker, std::mem::take(&mut slot.accelerator_mask));
         slot.state = TaskState::Ended(outcome);
         self.cluster.release_accelerators(worker, mask);
-        self.cluster.update(worker, |cell| {
-            let held = if was_booked { &mut cell.booked } else { &mut cell.used };
+        self.cluster.update(worker, |capacity| {
+            let held = if was_booked { &mut capacity.booked } else { &mut capacity.used };
             *held = subtract(held, &task);
             if firm {
-                cell.firm = subtract(&cell.firm, &task);
+                capacity.firm = subtract(&capacity.firm, &task);
             }
         });
         if let Some(organisation) = self.organisations.get_mut(&organisation) {
@@ -124,8 +124,8 @@
 
     /// Assigns freed capacity to the tasks that are booked on this worker.
     pub(crate) fn promote_booked(&mut self, worker: WorkerIndex, at: TimestampMs) {
-        let Some(cell) = self.cluster.worker(worker) else { return };
-        if cell.booked == Resources::default() {
+        let Some(capacity) = self.cluster.worker(worker) else { return };
+        if capacity.booked == Resources::default() {
             return;
         }
         let Some(entry) = self.worker_at(worker) else { return };
@@ -141,10 +141,11 @@
     }
 
     fn promote_task(&mut self, worker: WorkerIndex, key: &TaskKey, at: TimestampMs) {
-        let Some(cell) = self.cluster.worker(worker) else { return };
+        let Some(capacity) = self.cluster.worker(worker) else { return };
         let Some(entry) = self.jobs.get_mut(&key.job) else { return };
         let task = entry.spec.shape.task;
-        let fits = cell.used.checked_add(&task).is_some_and(|sum| cell.total.contains(&sum));
+        let fits =
+            capacity.used.checked_add(&task).is_some_and(|sum| capacity.total.contains(&sum));
         if !fits {
             return;
         }
@@ -158,9 +159,9 @@
             attempt.phase = AttemptPhase::Preparing;
             self.set_deadline(&key.job, Some(at + PREPARE_TIMEOUT));
         }
-        self.cluster.update(worker, |cell| {
-            cell.booked = subtract(&cell.booked, &task);
-            cell.used = add(&cell.used, &task);
+        self.cluster.update(worker, |capacity| {
+            capacity.booked = subtract(&capacity.booked, &task);
+            capacity.used = add(&capacity.used, &task);
         });
     }
 
--- a/crates/yuccatack_leases/src/begin.rs
+++ b/crates/yuccatack_leases/src/begin.rs
@@ -61,10 +61,10 @@
         let mut index = 0;
         for part in &parts {
             let Some(amount) = task.checked_mul(part.task_count) else { continue };
-            self.cluster.update(part.worker, |cell| {
-                cell.booked = add(&cell.booked, &amount);
+            self.cluster.update(part.worker, |capacity| {
+                capacity.booked = add(&capacity.booked, &amount);
                 if firm {
-                    cell.firm = add(&cell.firm, &amount);
+                    capacity.firm = add(&capacity.firm, &amount);
                 }
             });
             if let Some(worker) = self.worker_at_mut(part.worker) {
@@ -115,12 +115,12 @@
         match &begin.claim {
             Some(claim) => self.may_claim(begin, claim, parts),
             None => parts.iter().all(|part| {
-                let Some(cell) = self.cluster.worker(part.worker) else { return false };
+                let Some(capacity) = self.cluster.worker(part.worker) else { return false };
                 let Some(amount) = shape.task.checked_mul(part.task_count) else { return false };
-                let accepts_work = cell.schedulable || self.is_probe(begin, part);
+                let accepts_work = capacity.schedulable || self.is_probe(begin, part);
                 let within_firm_headroom =
-                    job.spec.is_reclaimable() || cell.firm_headroom().contains(&amount);
-                accepts_work && within_firm_headroom && cell.free().contains(&amount)
+                    job.spec.is_reclaimable() || capacity.firm_headroom().contains(&amount);
+                accepts_work && within_firm_headroom && capacity.free().contains(&amount)
             }),
         }
     }
@@ -172,27 +172,27 @@
         complete
             && self.is_adjacent(shape.adjacency, binding)
             && binding.iter().all(|part| {
-                let Some(cell) = self.cluster.worker(part.worker) else { return false };
+                let Some(capacity) = self.cluster.worker(part.worker) else { return false };
                 let current = instance.binding.iter().find(|(worker, _)| *worker == part.worker);
                 let current =
                     current.and_then(|(_, task_count)| shape.task.checked_mul(*task_count));
-                let headroom = add(&cell.firm_headroom(), &current.unwrap_or_default());
-                let allowed_here = allowed.is_empty() || allowed.contains(&cell.data_centre);
+                let headroom = add(&capacity.firm_headroom(), &current.unwrap_or_default());
+                let allowed_here = allowed.is_empty() || allowed.contains(&capacity.data_centre);
                 let fits = shape
                     .task
                     .checked_mul(part.task_count)
                     .is_some_and(|amount| headroom.contains(&amount));
-                cell.schedulable && allowed_here && fits
+                capacity.schedulable && allowed_here && fits
             })
     }
 
     pub(crate) fn is_adjacent(&self, adjacency: Adjacency, parts: &[Assignment]) -> bool {
         let domain = |part: &Assignment| {
-            let cell = self.cluster.worker(part.worker)?;
+            let capacity = self.cluster.worker(part.worker)?;
             Some(match adjacency {
                 Adjacency::Worker => part.worker,
-                Adjacency::Rack => cell.rack,
-                Adjacency::DataCentre => cell.data_centre,
+                Adjacency::Rack => capacity.rack,
+                Adjacency::DataCentre => capacity.data_centre,
             })
         };
         let Some(first) = parts.first().and_then(domain) else { return false };
--- a/crates/yuccatack_leases/src/binding.rs
+++ b/crates/yuccatack_leases/src/binding.rs
@@ -33,8 +33,9 @@
     /// Returns the capacity of each healthy worker that is left for further guarantees.
     fn headroom(&self) -> Vec<Resources> {
         let mut headroom = self.offered_capacity();
-        for (index, cell) in self.cluster.workers().filter(|(_, cell)| cell.schedulable) {
-            headroom[index as usize] = cell.firm_headroom();
+        for (index, capacity) in self.cluster.workers().filter(|(_, capacity)| capacity.schedulable)
+        {
+            headroom[index as usize] = capacity.firm_headroom();
         }
         headroom
     }
@@ -96,7 +97,7 @@
         instance: &ShapeInstance,
     ) {
         for (worker, task_count) in &instance.binding {
-            if self.cluster.worker(*worker).is_some_and(|cell| cell.schedulable)
+            if self.cluster.worker(*worker).is_some_and(|capacity| capacity.schedulable)
                 && let Some(amount) = entry.spec.shape.task.checked_mul(*task_count)
             {
                 add(&mut headroom[*worker as usize], &amount);
@@ -164,7 +165,7 @@
         self.unbacked.remove(key);
         for part in binding {
             let Some(amount) = task.checked_mul(part.task_count) else { continue };
-            self.cluster.update(part.worker, |cell| add(&mut cell.reserved, &amount));
+            self.cluster.update(part.worker, |capacity| add(&mut capacity.reserved, &amount));
         }
     }
 
@@ -179,7 +180,7 @@
         self.unbacked.insert(key.clone());
         for (worker, task_count) in binding {
             let Some(amount) = task.checked_mul(task_count) else { continue };
-            self.cluster.update(worker, |cell| subtract(&mut cell.reserved, &amount));
+            self.cluster.update(worker, |capacity| subtract(&mut capacity.reserved, &amount));
         }
         if let Some(job) = claimed_by {
             self.release_claim(&job);
@@ -197,7 +198,7 @@
         let task = entry.spec.shape.task;
         let held = attempt.tasks.iter().filter(|slot| !slot.state.is_ended());
         for worker in held.map(|slot| slot.worker).collect::<Vec<_>>() {
-            self.cluster.update(worker, |cell| add(&mut cell.firm, &task));
+            self.cluster.update(worker, |capacity| add(&mut capacity.firm, &task));
         }
     }
 
--- a/crates/yuccatack_leases/src/check.rs
+++ b/crates/yuccatack_leases/src/check.rs
@@ -152,13 +152,13 @@
     /// Returns the most tasks of `shape` that fit into one empty domain.
     fn largest_gang(&self, shape: &Shape) -> u32 {
         let mut slots: FastHashMap<u32, u32> = FastHashMap::default();
-        for (index, cell) in self.cluster.workers() {
+        for (index, capacity) in self.cluster.workers() {
             let key = match shape.adjacency {
                 Adjacency::Worker => index,
-                Adjacency::Rack => cell.rack,
-                Adjacency::DataCentre => cell.data_centre,
+                Adjacency::Rack => capacity.rack,
+                Adjacency::DataCentre => capacity.data_centre,
             };
-            let worker_slots = slot_count(&cell.total, &shape.task).min(shape.task_count);
+            let worker_slots = slot_count(&capacity.total, &shape.task).min(shape.task_count);
             let domain = slots.entry(key).or_default();
             *domain = domain.saturating_add(worker_slots);
         }
@@ -223,7 +223,7 @@
             let mut members: Vec<u32> = self
                 .cluster
                 .workers()
-                .filter(|(_, cell)| cell.schedulable && cell.data_centre == data_centre)
+                .filter(|(_, capacity)| capacity.schedulable && capacity.data_centre == data_centre)
                 .map(|(index, _)| index)
                 .collect();
             members
@@ -239,8 +239,9 @@
     pub(crate) fn offered_capacity(&self) -> Vec<Resources> {
         let length = self.cluster.workers().last().map_or(0, |(index, _)| index as usize + 1);
         let mut offered = vec![Resources::default(); length];
-        for (index, cell) in self.cluster.workers().filter(|(_, cell)| cell.schedulable) {
-            offered[index as usize] = cell.total;
+        for (index, capacity) in self.cluster.workers().filter(|(_, capacity)| capacity.schedulable)
+        {
+            offered[index as usize] = capacity.total;
         }
         offered
     }
--- a/crates/yuccatack_leases/src/health.rs
+++ b/crates/yuccatack_leases/src/health.rs
@@ -55,7 +55,7 @@
         worker.health = WorkerHealth::Healthy;
         let index = worker.index;
         self.quarantined.remove(name);
-        self.cluster.update(index, |cell| cell.schedulable = true);
+        self.cluster.update(index, |capacity| capacity.schedulable = true);
         let mut events = vec![LeaseEvent::WorkerRestored(name.clone())];
         events.extend(self.rebind_unbacked());
         events
@@ -110,7 +110,7 @@
     /// Removes a worker from the schedulable capacity; tasks that run there are not affected.
     fn mark_unschedulable(&mut self, index: u32) {
         self.unbind_worker(index);
-        self.cluster.update(index, |cell| cell.schedulable = false);
+        self.cluster.update(index, |capacity| capacity.schedulable = false);
     }
 
     pub(crate) fn register_worker(
--- a/crates/yuccatack_leases/src/invariant.rs
+++ b/crates/yuccatack_leases/src/invariant.rs
@@ -86,24 +86,24 @@
                 }
             }
         }
-        for (index, cell) in self.cluster.workers() {
+        for (index, capacity) in self.cluster.workers() {
             let recomputed =
                 |map: &BTreeMap<u32, Resources>| map.get(&index).copied().unwrap_or_default();
             let mask = masks.get(&index).copied().unwrap_or_default();
-            let consistent = cell.used == recomputed(&used)
-                && cell.booked == recomputed(&booked)
-                && cell.firm == recomputed(&firm)
-                && cell.reserved == recomputed(&reserved)
-                && cell.accelerator_mask == mask;
+            let consistent = capacity.used == recomputed(&used)
+                && capacity.booked == recomputed(&booked)
+                && capacity.firm == recomputed(&firm)
+                && capacity.reserved == recomputed(&reserved)
+                && capacity.accelerator_mask == mask;
             if !consistent {
-                return Err(format!("the capacity of {} does not match its tasks", cell.name));
+                return Err(format!("the capacity of {} does not match its tasks", capacity.name));
             }
-            if !cell.total.contains(&cell.used) {
-                return Err(format!("{} is used beyond its capacity", cell.name));
+            if !capacity.total.contains(&capacity.used) {
+                return Err(format!("{} is used beyond its capacity", capacity.name));
             }
-            let committed = cell.firm.checked_add(&cell.reserved).unwrap_or(cell.firm);
-            if cell.schedulable && !cell.total.contains(&committed) {
-                return Err(format!("a guaranteed shape on {} cannot be reclaimed", cell.name));
+            let committed = capacity.firm.checked_add(&capacity.reserved).unwrap_or(capacity.firm);
+            if capacity.schedulable && !capacity.total.contains(&committed) {
+                return Err(format!("a guaranteed shape on {} cannot be reclaimed", capacity.name));
             }
         }
         self.verify_claims()
--- a/crates/yuccatack_leases/src/reclaim.rs
+++ b/crates/yuccatack_leases/src/reclaim.rs
@@ -31,9 +31,9 @@
         worker: WorkerIndex,
         chosen: &[JobName],
     ) -> Option<Vec<JobName>> {
-        let cell = self.cluster.worker(worker)?;
+        let capacity = self.cluster.worker(worker)?;
         let entry = self.worker_at(worker)?;
-        let mut needed = cell.used.checked_add(&cell.booked)?;
+        let mut needed = capacity.used.checked_add(&capacity.booked)?;
         let mut candidates: Vec<(&JobName, &JobEntry, Resources)> = Vec::new();
         for (key, job) in self.tasks_on(entry) {
             let Some(attempt) = job.attempt() else { continue };
@@ -56,12 +56,12 @@
         candidates.sort_by_key(|(name, job, _)| (preemption_cost(job), (*name).clone()));
         let mut victims = Vec::new();
         for (name, _, amount) in candidates {
-            if cell.total.contains(&needed) {
+            if capacity.total.contains(&needed) {
                 break;
             }
             needed = needed.checked_sub(&amount)?;
             victims.push(name.clone());
         }
-        cell.total.contains(&needed).then_some(victims)
+        capacity.total.contains(&needed).then_some(victims)
     }
 }
--- a/crates/yuccatack_leases/src/reservation.rs
+++ b/crates/yuccatack_leases/src/reservation.rs
@@ -71,9 +71,9 @@
     let mut expected_ends: Vec<(TimestampMs, WorkerIndex, Resources)> = Vec::new();
     let mut slots = 0;
     for worker in workers {
-        let cell = table.cluster.worker(*worker)?;
-        free.insert(*worker, cell.free());
-        slots += slot_count(&cell.free(), &shape.task);
+        let capacity = table.cluster.worker(*worker)?;
+        free.insert(*worker, capacity.free());
+        slots += slot_count(&capacity.free(), &shape.task);
         let Some(entry) = table.worker_at(*worker) else { continue };
         for (_, job) in table.tasks_on(entry) {
             expected_ends.push((table.expected_end(job, now), *worker, job.spec.shape.task));
--- a/crates/yuccatack_leases/src/table.rs
+++ b/crates/yuccatack_leases/src/table.rs
@@ -161,7 +161,7 @@
     }
 
     pub(crate) fn worker_name(&self, index: WorkerIndex) -> Option<WorkerName> {
-        self.cluster.worker(index).map(|cell| cell.name.clone())
+        self.cluster.worker(index).map(|capacity| capacity.name.clone())
     }
 
     pub(crate) fn worker_at(&self, index: WorkerIndex) -> Option<&WorkerEntry> {
