--- a/crates/yuccatack_leases/examples/replay/mix.rs
+++ b/crates/yuccatack_leases/examples/replay/mix.rs
@@ -228,8 +228,8 @@
     };
     let mut guarantees: Vec<GuaranteeSpec> = owners
         .iter()
-        .filter_map(|organisation| {
-            guarantee(&format!("urgent-{organisation}"), organisation, urgent_shape, urgent_count)
+        .filter_map(|owner| {
+            guarantee(&format!("urgent-{owner}"), owner, urgent_shape, urgent_count)
         })
         .collect();
     guarantees.extend(guarantee("gang-north", "north", shape(2, 8, Adjacency::Rack), 1));
