--- a/crates/yuccatack_queue_client/src/lib.rs
+++ b/crates/yuccatack_queue_client/src/lib.rs
@@ -15,7 +15,7 @@
 pub use backoff::Backoff;
 pub use client::{AgentStream, QueueClient};
 pub use error::CallError;
-pub use limits::{OPERATOR_CALL_LIMIT, RETRY_AFTER, caller_limit};
+pub use limits::{OPERATOR_CALL_TIMEOUT, RETRY_AFTER, caller_timeout};
 pub use readiness::watch_leader;
 pub use wire::WireError;
 
--- a/crates/yuccatack_queue_client/src/limits.rs
+++ b/crates/yuccatack_queue_client/src/limits.rs
@@ -12,13 +12,13 @@
 const RETURN_MARGIN: Duration = Duration::from_millis(100);
 
 /// How long an operator's request is tried; operators go to another node after a second.
-pub const OPERATOR_CALL_LIMIT: Duration = Duration::from_millis(900);
+pub const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// When a caller whose request has not run comes back; by then an election is over.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How long a request is tried for a caller that waits for `deadline`.
-pub fn caller_limit(deadline: Option<DurationMs>) -> Duration {
+pub fn caller_timeout(deadline: Option<DurationMs>) -> Duration {
     let waits = deadline.map_or(CALLER_LIMIT, Duration::from);
     waits.saturating_sub(RETURN_MARGIN).min(CALLER_LIMIT)
 }
--- a/crates/yuccatack_stand_ins/src/queue_worker.rs
+++ b/crates/yuccatack_stand_ins/src/queue_worker.rs
@@ -8,7 +8,7 @@
 use yuccatack_dispatch::{EndedRun, RunningRun, StartResult};
 use yuccatack_runs::{RunId, RunOutcome};
 use yuccatack_worker_agent::{
-    HoldCall, HoldResult, HoldSeen, StartCall, StopCall, StopResult, WorkerPort,
+    PollCall, PollResponse, PollResult, StartCall, StopCall, StopResult, WorkerPort,
 };
 
 /// How long a look waits at most, so that tests see ends soon.
@@ -17,7 +17,7 @@
 enum Message {
     Start(StartCall, oneshot::Sender<StartResult>),
     Stop(StopCall, oneshot::Sender<StopResult>),
-    Hold(HoldCall, oneshot::Sender<HoldSeen>),
+    Hold(PollCall, oneshot::Sender<PollResponse>),
     Starts(oneshot::Sender<Vec<RunId>>),
 }
 
@@ -145,7 +145,7 @@
         StartResult::Begun
     }
 
-    fn hold(&mut self, call: &HoldCall) -> HoldSeen {
+    fn hold(&mut self, call: &PollCall) -> PollResponse {
         self.token = self.token.max(call.token);
         self.lease_until_clock_ms =
             self.lease_until_clock_ms.max(call.until_clock_ms.unwrap_or_default());
@@ -156,7 +156,7 @@
             percent: 0,
             load: None,
         });
-        HoldSeen {
+        PollResponse {
             started_at_unix_ms: None,
             clock_ms: self.clock_ms(),
             running: running.collect(),
@@ -184,13 +184,13 @@
         answer.await.unwrap_or(StopResult::Unknown)
     }
 
-    async fn hold(&self, call: HoldCall) -> HoldResult {
+    async fn poll(&self, call: PollCall) -> PollResult {
         sleep(LOOK_LIMIT.min(call.wait_ms.into())).await;
         let (reply, answer) = oneshot::channel();
         let sent = self.messages.send(Message::Hold(call, reply)).is_ok();
         if !sent {
-            return HoldResult::Failed;
+            return PollResult::Failed;
         }
-        answer.await.map_or(HoldResult::Failed, HoldResult::Seen)
+        answer.await.map_or(PollResult::Failed, PollResult::Answered)
     }
 }
--- a/crates/yuccatack_worker_agent/src/agent.rs
+++ b/crates/yuccatack_worker_agent/src/agent.rs
@@ -15,7 +15,7 @@
 
 use crate::orders::{OrderBook, StartAction};
 use crate::port::{
-    Announcement, HoldCall, HoldResult, HoldSeen, StartCall, StopCall, StopResult, WorkerPort,
+    Announcement, PollCall, PollResponse, PollResult, StartCall, StopCall, StopResult, WorkerPort,
 };
 
 /// How often the agent looks for a silent leader and for a look at the worker that is due.
@@ -56,7 +56,7 @@
     Attached(Result<AgentStream, Option<SocketAddr>>),
     Started(WorkerIncarnation, RunId, StartResult),
     Stopped(WorkerIncarnation, RunId, StopResult),
-    Held { incarnation: WorkerIncarnation, stopped: Vec<RunId>, result: HoldResult },
+    Held { incarnation: WorkerIncarnation, stopped: Vec<RunId>, result: PollResult },
 }
 
 /// The agent of one worker.
@@ -353,7 +353,7 @@
         }
         self.holding = true;
         let incarnation = worker.incarnation.clone();
-        let call = HoldCall {
+        let call = PollCall {
             incarnation: incarnation.clone(),
             token,
             until_clock_ms: self.lease_until_clock_ms,
@@ -363,7 +363,7 @@
         let stopped = self.orders.stopped();
         let (port, events) = (self.port.clone(), self.events.clone());
         tokio::spawn(async move {
-            let result = port.hold(call).await;
+            let result = port.poll(call).await;
             let _ = events.send(Event::Held { incarnation, stopped, result }).await;
         });
     }
@@ -372,14 +372,14 @@
         &mut self,
         incarnation: &WorkerIncarnation,
         stopped: Vec<RunId>,
-        result: HoldResult,
+        result: PollResult,
     ) {
         self.holding = false;
         if !self.is_current(incarnation) {
             return;
         }
         match result {
-            HoldResult::Seen(seen) if is_life(&seen, incarnation) => {
+            PollResult::Answered(seen) if is_life(&seen, incarnation) => {
                 self.hold_failed = false;
                 self.listed_end = seen.ended.iter().map(|end| end.number).max().unwrap_or(0);
                 if self.listed_end > self.acknowledged_end {
@@ -397,7 +397,7 @@
                     self.orders.on_reported(&stopped, &ended);
                 }
             }
-            HoldResult::Seen(_) | HoldResult::OtherLife | HoldResult::Failed => {
+            PollResult::Answered(_) | PollResult::OtherIncarnation | PollResult::Failed => {
                 if !self.hold_failed {
                     log::warn!(
                         event = "worker_silent", life:% = incarnation;
@@ -426,7 +426,7 @@
     }
 }
 
-fn is_life(seen: &HoldSeen, incarnation: &WorkerIncarnation) -> bool {
+fn is_life(seen: &PollResponse, incarnation: &WorkerIncarnation) -> bool {
     seen.started_at_unix_ms.is_none_or(|started| started == incarnation.started_at_unix_ms)
 }
 
--- a/crates/yuccatack_worker_agent/src/lib.rs
+++ b/crates/yuccatack_worker_agent/src/lib.rs
@@ -10,5 +10,5 @@
 
 pub use agent::{Agent, AgentConfig};
 pub use port::{
-    Announcement, HoldCall, HoldResult, HoldSeen, StartCall, StopCall, StopResult, WorkerPort,
+    Announcement, PollCall, PollResponse, PollResult, StartCall, StopCall, StopResult, WorkerPort,
 };
--- a/crates/yuccatack_worker_agent/src/port.rs
+++ b/crates/yuccatack_worker_agent/src/port.rs
@@ -51,7 +51,7 @@
 
 /// A look at the worker, and a renewal of its lease.
 #[derive(Clone, Debug)]
-pub struct HoldCall {
+pub struct PollCall {
     /// The incarnation that may carry it out.
     pub incarnation: WorkerIncarnation,
     /// The fencing token of the newest leader.
@@ -77,18 +77,18 @@
 
 /// What a look at the worker showed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum HoldResult {
+pub enum PollResult {
     /// The worker answered.
-    Seen(HoldSeen),
+    Answered(PollResponse),
     /// Another incarnation of the worker answered.
-    OtherLife,
+    OtherIncarnation,
     /// The worker refused or did not answer.
     Failed,
 }
 
 /// What runs and what has ended.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HoldSeen {
+pub struct PollResponse {
     /// When the answering incarnation began, by its time of day, if it says so.
     pub started_at_unix_ms: Option<u64>,
     /// The worker's steady clock.
@@ -108,5 +108,5 @@
     fn stop(&self, call: StopCall) -> impl Future<Output = StopResult> + Send;
 
     /// Looks at the worker and renews its lease.
-    fn hold(&self, call: HoldCall) -> impl Future<Output = HoldResult> + Send;
+    fn poll(&self, call: PollCall) -> impl Future<Output = PollResult> + Send;
 }
--- a/crates/yuccatack_worker_agent/tests/hold_pace.rs
+++ b/crates/yuccatack_worker_agent/tests/hold_pace.rs
@@ -25,7 +25,7 @@
 use yuccatack_queue_client::protocol::LeaderFrame;
 use yuccatack_runs::{RunId, RunOutcome, TaskId, WorkerIncarnation};
 use yuccatack_worker_agent::{
-    Agent, AgentConfig, Announcement, HoldCall, HoldResult, HoldSeen, StartCall, StopCall,
+    Agent, AgentConfig, Announcement, PollCall, PollResponse, PollResult, StartCall, StopCall,
     StopResult, WorkerPort,
 };
 
@@ -76,16 +76,19 @@
         StopResult::Unknown
     }
 
-    async fn hold(&self, call: HoldCall) -> HoldResult {
+    async fn poll(&self, call: PollCall) -> PollResult {
         self.looks.send(call.acknowledged_end).unwrap();
         let task = TaskId { job: JobName::new("job").unwrap(), occurrence: 0, step: 0, index: 0 };
         let run = RunId { task, number: 1 };
         let end = EndedRun { number: 1, run, outcome: RunOutcome::Done, checkpoint: None };
         if call.acknowledged_end == 0 {
-            return HoldResult::Seen(HoldSeen { ended: vec![end], ..HoldSeen::default() });
+            return PollResult::Answered(PollResponse {
+                ended: vec![end],
+                ..PollResponse::default()
+            });
         }
         sleep(Duration::from(call.wait_ms)).await;
-        HoldResult::Seen(HoldSeen::default())
+        PollResult::Answered(PollResponse::default())
     }
 }
 
--- a/crates/yuccatack_worker_agent/tests/leader_search.rs
+++ b/crates/yuccatack_worker_agent/tests/leader_search.rs
@@ -24,7 +24,7 @@
 use yuccatack_queue_client::protocol::{self, LeaderFrame, LeaderHint};
 use yuccatack_queue_client::{CallError, QueueClient};
 use yuccatack_worker_agent::{
-    Agent, AgentConfig, HoldCall, HoldResult, StartCall, StopCall, StopResult, WorkerPort,
+    Agent, AgentConfig, PollCall, PollResult, StartCall, StopCall, StopResult, WorkerPort,
 };
 
 /// A replica that never leads and counts who asks.
@@ -65,8 +65,8 @@
         StopResult::Unknown
     }
 
-    async fn hold(&self, _call: HoldCall) -> HoldResult {
-        HoldResult::Failed
+    async fn poll(&self, _call: PollCall) -> PollResult {
+        PollResult::Failed
     }
 }
 
