--- a/crates/yuccatack_control/src/queries.rs
+++ b/crates/yuccatack_control/src/queries.rs
@@ -4,7 +4,7 @@
 use yuccatack_core::prelude::*;
 use yuccatack_leases::{JobStatus, LeaseTable, Scheduler, WaitReason, WorkerHealth};
 use yuccatack_replication::{LogIndex, ReplicaId, ReplicationStatus};
-use yuccatack_view::{InForce, MinionState, ViewPublisher};
+use yuccatack_view::{InForceStatus, MinionState, ViewPublisher};
 
 use crate::message::ChangeStatus;
 use crate::state::ControlState;
@@ -19,7 +19,7 @@
     let revision = outcome.as_ref().and_then(|outcome| outcome.revision());
     let in_force = match revision {
         Some(revision) => publisher.in_force(revision).await,
-        None => InForce { everywhere: false, missing_nodes: Vec::new() },
+        None => InForceStatus { everywhere: false, missing_nodes: Vec::new() },
     };
     ChangeStatus {
         outcome,
--- a/crates/yuccatack_view/src/lib.rs
+++ b/crates/yuccatack_view/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use message::{Delta, NodeRole, PublishedRecord, RecordUpdate, Report, Update, UpdateBody};
 pub use publisher::{
-    InForce, LEADER_METADATA_KEY, NotLeader, PublisherState, PublisherStatus, StreamId,
+    InForceStatus, LEADER_METADATA_KEY, NotLeader, PublisherState, PublisherStatus, StreamId,
     ViewPublisher, ViewService,
 };
 pub use state::{MinionEntry, MinionState, MinionStatus, RecordEntry, View, ViewHandle};
--- a/crates/yuccatack_view/src/publisher/actor.rs
+++ b/crates/yuccatack_view/src/publisher/actor.rs
@@ -11,9 +11,9 @@
 use yuccatack_core::prelude::*;
 
 use super::service::UpdateReceiver;
-use super::state::{InForce, NotLeader, PublisherState, StreamId};
+use super::state::{InForceStatus, NotLeader, PublisherState, StreamId};
 use crate::clock::MonotonicClock;
-use crate::limits::STREAM_SILENCE;
+use crate::limits::STREAM_IDLE_TIMEOUT;
 use crate::message::{PublishedRecord, RecordUpdate, Report, Update};
 use crate::state::MinionEntry;
 
@@ -33,7 +33,7 @@
     Open { reply: oneshot::Sender<Result<(StreamId, UpdateReceiver), NotLeader>> },
     Report { stream: StreamId, report: Report },
     Close { stream: StreamId },
-    ReadInForce { revision: Revision, reply: oneshot::Sender<InForce> },
+    ReadInForce { revision: Revision, reply: oneshot::Sender<InForceStatus> },
     ReadStatus { reply: oneshot::Sender<PublisherStatus> },
 }
 
@@ -102,10 +102,10 @@
     }
 
     /// Whether a change is in force everywhere, and if not, which nodes are missing.
-    pub async fn in_force(&self, revision: Revision) -> InForce {
+    pub async fn in_force(&self, revision: Revision) -> InForceStatus {
         let (reply, answer) = oneshot::channel();
         self.send(PublisherMessage::ReadInForce { revision, reply }).await;
-        let stopped = InForce { everywhere: false, missing_nodes: Vec::new() };
+        let stopped = InForceStatus { everywhere: false, missing_nodes: Vec::new() };
         answer.await.unwrap_or(stopped)
     }
 
@@ -297,7 +297,7 @@
             }
             Err(mpsc::error::TrySendError::Full(())) => {
                 let blocked_since = *outgoing.blocked_since.get_or_insert(now);
-                now.since(blocked_since) <= STREAM_SILENCE
+                now.since(blocked_since) <= STREAM_IDLE_TIMEOUT
             }
             Err(mpsc::error::TrySendError::Closed(())) => false,
         }
--- a/crates/yuccatack_view/src/publisher/mod.rs
+++ b/crates/yuccatack_view/src/publisher/mod.rs
@@ -9,4 +9,4 @@
 
 pub use actor::{PublisherStatus, ViewPublisher};
 pub use service::{LEADER_METADATA_KEY, ViewService};
-pub use state::{InForce, NotLeader, PublisherState, StreamId};
+pub use state::{InForceStatus, NotLeader, PublisherState, StreamId};
--- a/crates/yuccatack_view/src/publisher/nodes.rs
+++ b/crates/yuccatack_view/src/publisher/nodes.rs
@@ -5,7 +5,7 @@
 
 use yuccatack_core::prelude::*;
 
-use crate::limits::{CLOCK_MARGIN, FRESHNESS, MINION_SILENCE, NODE_MEMORY};
+use crate::limits::{CLOCK_MARGIN, FRESHNESS_DURATION, MINION_LIVENESS_TIMEOUT, NODE_RETENTION};
 use crate::message::Report;
 use crate::state::{MinionEntry, MinionState};
 
@@ -90,11 +90,11 @@
 
     /// Drops what has become too old.
     pub fn expire(&mut self, now: TimestampMs) {
-        self.processes.retain(|_, process| now.since(process.last_report_at) <= NODE_MEMORY);
+        self.processes.retain(|_, process| now.since(process.last_report_at) <= NODE_RETENTION);
         let silent: Vec<NodeName> = self
             .minions
             .iter()
-            .filter(|(_, minion)| now.since(minion.alive_at) >= MINION_SILENCE)
+            .filter(|(_, minion)| now.since(minion.alive_at) >= MINION_LIVENESS_TIMEOUT)
             .map(|(node, _)| node.clone())
             .collect();
         for node in silent {
@@ -119,7 +119,7 @@
 
     /// The nodes that may still start work by an older revision than `revision`.
     pub fn missing(&self, revision: Revision, now: TimestampMs) -> Vec<NodeName> {
-        let limit = FRESHNESS + CLOCK_MARGIN;
+        let limit = FRESHNESS_DURATION + CLOCK_MARGIN;
         self.processes
             .iter()
             .filter(|(_, process)| process.applied_revision < revision)
@@ -138,7 +138,8 @@
             .map(|(_, process)| process)
             .max_by_key(|process| process.first_seen);
         let listed = newest.and_then(|process| {
-            let alive_at = process.alive_at.filter(|at| now.since(*at) < MINION_SILENCE)?;
+            let alive_at =
+                process.alive_at.filter(|at| now.since(*at) < MINION_LIVENESS_TIMEOUT)?;
             Some(ListedMinion {
                 entry: Arc::clone(process.minion.as_ref()?),
                 route_version: process.route_version,
@@ -160,5 +161,5 @@
 /// Whether anything but the load differs.
 fn routes_differ(earlier: Option<&MinionEntry>, later: Option<&MinionEntry>) -> bool {
     let (Some(earlier), Some(later)) = (earlier, later) else { return true };
-    earlier.data_centre != later.data_centre || earlier.status.routes_differently(&later.status)
+    earlier.data_centre != later.data_centre || earlier.status.routing_differs_from(&later.status)
 }
--- a/crates/yuccatack_view/src/publisher/service.rs
+++ b/crates/yuccatack_view/src/publisher/service.rs
@@ -12,7 +12,7 @@
 use super::state::{NotLeader, StreamId};
 use crate::generated::view::view_server::{View, ViewServer};
 use crate::generated::view::{NodeReport, ViewUpdate};
-use crate::limits::STREAM_SILENCE;
+use crate::limits::STREAM_IDLE_TIMEOUT;
 use crate::message::Report;
 
 /// The metadata key that holds the leader's address.
@@ -72,7 +72,7 @@
 ) {
     // The publisher cuts a silent stream; this end must not wait for a lost machine either, as the
     // system would keep its connection for many minutes.
-    let limit = std::time::Duration::from(STREAM_SILENCE) * 2;
+    let limit = std::time::Duration::from(STREAM_IDLE_TIMEOUT) * 2;
     while let Ok(Ok(Some(wire))) = tokio::time::timeout(limit, reports.message()).await {
         match Report::try_from(wire) {
             Ok(report) => publisher.report(stream, report).await,
--- a/crates/yuccatack_view/src/publisher/state.rs
+++ b/crates/yuccatack_view/src/publisher/state.rs
@@ -9,7 +9,9 @@
 use super::nodes::{ListedMinion, NodeTable};
 use super::records::PublishedRecords;
 use super::stream::{SentMinion, Stream};
-use crate::limits::{CLOCK_MARGIN, FRESHNESS, LOAD_INTERVAL, MAX_LOAD_ENTRIES, STREAM_SILENCE};
+use crate::limits::{
+    CLOCK_MARGIN, FRESHNESS_DURATION, LOAD_INTERVAL, MAX_LOAD_ENTRIES, STREAM_IDLE_TIMEOUT,
+};
 use crate::message::{Delta, NodeRole, PublishedRecord, RecordUpdate, Report, Update, UpdateBody};
 use crate::state::MinionEntry;
 
@@ -35,7 +37,7 @@
 
 /// Whether a change is in force everywhere.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct InForce {
+pub struct InForceStatus {
     /// True when no node starts work by an older revision any more.
     pub everywhere: bool,
     /// The nodes that report an older revision.
@@ -148,7 +150,7 @@
         let silent: Vec<StreamId> = self
             .streams
             .iter()
-            .filter(|(_, stream)| now.since(stream.last_report_at) > STREAM_SILENCE)
+            .filter(|(_, stream)| now.since(stream.last_report_at) > STREAM_IDLE_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
         for id in &silent {
@@ -173,16 +175,19 @@
     }
 
     /// Whether no node starts work by an older revision than `revision` any more.
-    pub fn in_force(&self, revision: Revision, now: TimestampMs) -> InForce {
+    pub fn in_force(&self, revision: Revision, now: TimestampMs) -> InForceStatus {
         let missing_nodes = self.nodes.missing(revision, now);
         let settled = match self.leadership {
             Leadership::Follower { .. } => false,
             // Nodes that reported only to the leader before are not known here until then.
-            Leadership::Leader { since } => now.since(since) > FRESHNESS + CLOCK_MARGIN,
+            Leadership::Leader { since } => now.since(since) > FRESHNESS_DURATION + CLOCK_MARGIN,
         };
         // A deposed leader does not know the nodes that follow the new one.
         let confirmed = revision <= self.confirmed_revision;
-        InForce { everywhere: settled && confirmed && missing_nodes.is_empty(), missing_nodes }
+        InForceStatus {
+            everywhere: settled && confirmed && missing_nodes.is_empty(),
+            missing_nodes,
+        }
     }
 
     fn await_confirmation(&mut self, now: TimestampMs) {
--- a/crates/yuccatack_view/src/state.rs
+++ b/crates/yuccatack_view/src/state.rs
@@ -54,7 +54,7 @@
 
 impl MinionStatus {
     /// Whether anything but the load differs.
-    pub fn routes_differently(&self, other: &Self) -> bool {
+    pub fn routing_differs_from(&self, other: &Self) -> bool {
         self.state != other.state
             || self.minion != other.minion
             || self.service != other.service
@@ -117,7 +117,7 @@
     /// How old the confirmation of the view is; `None` before the first one.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let confirmed_until = (*self.fresh_until.borrow())?;
-        let freshness = Duration::from(crate::limits::FRESHNESS);
+        let freshness = Duration::from(crate::limits::FRESHNESS_DURATION);
         Some(freshness.saturating_sub(confirmed_until.saturating_duration_since(now)))
     }
 
--- a/crates/yuccatack_view/src/subscriber/actor.rs
+++ b/crates/yuccatack_view/src/subscriber/actor.rs
@@ -10,7 +10,7 @@
 use super::connection::{Connection, ConnectionError};
 use super::state::{NodeIdentity, SubscriberState};
 use crate::clock::MonotonicClock;
-use crate::limits::{REPORT_INTERVAL, STREAM_SILENCE};
+use crate::limits::{REPORT_INTERVAL, STREAM_IDLE_TIMEOUT};
 use crate::message::{NodeRole, Report};
 use crate::state::{MinionStatus, View, ViewHandle};
 
@@ -126,7 +126,7 @@
         };
         let interval = Duration::from(REPORT_INTERVAL);
         let mut report_at = tokio::time::Instant::now() + interval;
-        let mut silent_at = tokio::time::Instant::now() + Duration::from(STREAM_SILENCE);
+        let mut silent_at = tokio::time::Instant::now() + Duration::from(STREAM_IDLE_TIMEOUT);
         loop {
             let mut report_now = false;
             let expiry = self.expiry();
@@ -136,7 +136,7 @@
                         Ok(update) => update,
                         Err(error) => return error,
                     };
-                    silent_at = tokio::time::Instant::now() + Duration::from(STREAM_SILENCE);
+                    silent_at = tokio::time::Instant::now() + Duration::from(STREAM_IDLE_TIMEOUT);
                     match self.state.apply(update, self.clock.now()) {
                         Ok(report_due) => report_now = report_due,
                         Err(error) => return ConnectionError::Update { error },
@@ -172,7 +172,7 @@
     fn route_changed(&mut self) -> bool {
         let current = self.reports.borrow_and_update();
         match (&self.last_reported, &*current) {
-            (Some(earlier), Some(later)) => earlier.routes_differently(later),
+            (Some(earlier), Some(later)) => earlier.routing_differs_from(later),
             (None, None) => false,
             _ => true,
         }
--- a/crates/yuccatack_view/src/subscriber/connection.rs
+++ b/crates/yuccatack_view/src/subscriber/connection.rs
@@ -12,7 +12,7 @@
 use super::state::UpdateError;
 use crate::generated::view::view_client::ViewClient;
 use crate::generated::view::{NodeReport, ViewUpdate};
-use crate::limits::STREAM_SILENCE;
+use crate::limits::STREAM_IDLE_TIMEOUT;
 use crate::message::{Report, Update};
 use crate::publisher::LEADER_METADATA_KEY;
 use crate::wire::WireError;
@@ -46,7 +46,7 @@
         detail: String,
     },
     /// Nothing came for too long.
-    #[snafu(display("no update for {} ms; replacing the connection", STREAM_SILENCE.get()))]
+    #[snafu(display("no update for {} ms; replacing the connection", STREAM_IDLE_TIMEOUT.get()))]
     Silent,
     /// An update could not be read.
     #[snafu(display("{error}"))]
@@ -87,7 +87,7 @@
     /// Connects and subscribes; `first` is the first report.
     pub async fn open(address: SocketAddr, first: Report) -> Result<Self, ConnectionError> {
         let opening = Self::subscribe(address, first);
-        match tokio::time::timeout(STREAM_SILENCE.into(), opening).await {
+        match tokio::time::timeout(STREAM_IDLE_TIMEOUT.into(), opening).await {
             Ok(opened) => opened,
             Err(_) => Err(ConnectionError::Silent),
         }
--- a/crates/yuccatack_view/src/subscriber/state.rs
+++ b/crates/yuccatack_view/src/subscriber/state.rs
@@ -7,7 +7,7 @@
 use yuccatack_core::prelude::*;
 use yuccatack_records::{RecordKey, decode};
 
-use crate::limits::{FRESHNESS, MINION_WINDOW};
+use crate::limits::{FRESHNESS_DURATION, MINION_FRESHNESS_DURATION};
 use crate::message::{Delta, NodeRole, PublishedRecord, Report, Update, UpdateBody};
 use crate::state::{MinionEntry, MinionState, MinionStatus, RecordEntry, View};
 
@@ -35,7 +35,7 @@
         "the control replica is at revision {offered} and this node at {applied}; the node looks \
          for the current leader; if the control replicas were set up anew, restart the node"
     ))]
-    OlderLeader {
+    StaleLeader {
         /// The sender's revision.
         offered: Revision,
         /// The node's revision.
@@ -45,7 +45,7 @@
     #[snafu(display(
         "a difference from revision {base} does not fit this node's {applied}; it subscribes again"
     ))]
-    Gap {
+    RevisionGap {
         /// Where the difference starts.
         base: Revision,
         /// The node's revision.
@@ -156,12 +156,12 @@
         let applied = self.view.revision;
         let had_acknowledgement = self.received_acknowledgement > 0;
         if update.revision < applied {
-            return Err(UpdateError::OlderLeader { offered: update.revision, applied });
+            return Err(UpdateError::StaleLeader { offered: update.revision, applied });
         }
         match update.body {
             Some(body) => self.apply_body(update.revision, body)?,
             None if update.revision > applied => {
-                return Err(UpdateError::Gap { base: update.revision, applied });
+                return Err(UpdateError::RevisionGap { base: update.revision, applied });
             }
             None => {}
         }
@@ -201,7 +201,7 @@
     fn apply_delta(&mut self, view: &mut View, delta: Delta) -> Result<(), UpdateError> {
         let applied = view.revision;
         if delta.base_revision != applied {
-            return Err(UpdateError::Gap { base: delta.base_revision, applied });
+            return Err(UpdateError::RevisionGap { base: delta.base_revision, applied });
         }
         view.records.extend(read_records(&delta.changed_records)?);
         for key in &delta.removed_records {
@@ -225,7 +225,7 @@
             }
             self.sent.pop_front();
             self.confirmed_at = self.confirmed_at.max(Some(sent_at));
-            self.fresh_until = self.fresh_until.max(Some(sent_at + FRESHNESS));
+            self.fresh_until = self.fresh_until.max(Some(sent_at + FRESHNESS_DURATION));
         }
     }
 
@@ -233,7 +233,8 @@
     /// after this node had sent the confirmed report.
     fn extend_minions(&mut self, oldest_age: DurationMs) {
         let Some(confirmed_at) = self.confirmed_at else { return };
-        let window = DurationMs::new(MINION_WINDOW.get().saturating_sub(oldest_age.get()));
+        let window =
+            DurationMs::new(MINION_FRESHNESS_DURATION.get().saturating_sub(oldest_age.get()));
         for node in self.listed.keys() {
             let limit = self.minion_limits.entry(node.clone()).or_default();
             *limit = (confirmed_at + window).max(*limit);
--- a/crates/yuccatack_view/tests/node_freshness.rs
+++ b/crates/yuccatack_view/tests/node_freshness.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use support::{at, minion, organisation};
 use yuccatack_core::prelude::*;
-use yuccatack_view::limits::{FRESHNESS, MINION_WINDOW};
+use yuccatack_view::limits::{FRESHNESS_DURATION, MINION_FRESHNESS_DURATION};
 use yuccatack_view::{
     Delta, MinionEntry, MinionState, NodeIdentity, NodeRole, PublishedRecord, SubscriberState,
     Update, UpdateBody, UpdateError,
@@ -47,9 +47,9 @@
     node.apply(snapshot(5, 0), at(700)).unwrap();
     assert_eq!(node.fresh_until(), None, "nothing is acknowledged");
     node.apply(acknowledgement(5, 1), at(2_900)).unwrap();
-    assert_eq!(node.fresh_until(), Some(at(100) + FRESHNESS));
+    assert_eq!(node.fresh_until(), Some(at(100) + FRESHNESS_DURATION));
     node.apply(acknowledgement(5, 2), at(3_900)).unwrap();
-    assert_eq!(node.fresh_until(), Some(at(600) + FRESHNESS));
+    assert_eq!(node.fresh_until(), Some(at(600) + FRESHNESS_DURATION));
 }
 
 /// Guards against an acknowledgement of one leader that counts for a report to another.
@@ -73,7 +73,7 @@
     node.next_report(None, at(100));
     node.apply(snapshot(5, 0), at(200)).unwrap();
     let (offered, applied) = (Revision::new(4), Revision::new(5));
-    let error = Err(UpdateError::OlderLeader { offered, applied });
+    let error = Err(UpdateError::StaleLeader { offered, applied });
     assert_eq!(node.apply(snapshot(4, 1), at(300)), error);
     assert_eq!(node.apply(acknowledgement(4, 1), at(300)), error);
     assert_eq!(node.view().revision, applied);
@@ -88,9 +88,9 @@
     let body = Delta { base_revision: Revision::new(6), ..Delta::default() };
     let update = Update { body: Some(UpdateBody::Delta(body)), ..snapshot(7, 0) };
     let (base, applied) = (Revision::new(6), Revision::new(5));
-    assert_eq!(node.apply(update, at(300)), Err(UpdateError::Gap { base, applied }));
+    assert_eq!(node.apply(update, at(300)), Err(UpdateError::RevisionGap { base, applied }));
     let base = Revision::new(6);
-    let error = Err(UpdateError::Gap { base, applied });
+    let error = Err(UpdateError::RevisionGap { base, applied });
     assert_eq!(node.apply(acknowledgement(6, 0), at(300)), error);
     assert_eq!(node.view().revision, applied);
 }
@@ -133,7 +133,7 @@
     let oldest_minion_age = DurationMs::new(400);
     let update = Update { body, oldest_minion_age, ..snapshot(5, 1) };
     node.apply(update, at(200)).unwrap();
-    let limit = at(100) + MINION_WINDOW - oldest_minion_age;
+    let limit = at(100) + MINION_FRESHNESS_DURATION - oldest_minion_age;
     assert_eq!(node.view().minions.len(), 2);
     assert_eq!(node.fresh_until(), Some(limit), "not longer than a minion in the view");
     node.start_stream();
--- a/crates/yuccatack_view/tests/stream_resume.rs
+++ b/crates/yuccatack_view/tests/stream_resume.rs
@@ -5,7 +5,7 @@
 
 use support::{at, key, minion, organisation, report, withdrawal};
 use yuccatack_core::prelude::*;
-use yuccatack_view::limits::{LOAD_INTERVAL, MAX_LOAD_ENTRIES, STREAM_SILENCE};
+use yuccatack_view::limits::{LOAD_INTERVAL, MAX_LOAD_ENTRIES, STREAM_IDLE_TIMEOUT};
 use yuccatack_view::{MinionState, NodeRole, PublisherState, StreamId, Update, UpdateBody};
 
 fn leader_at_revision(revision: u64) -> PublisherState {
@@ -89,7 +89,7 @@
     let mut publisher = leader_at_revision(1);
     subscribe(&mut publisher, 1, 0);
     subscribe(&mut publisher, 2, 0);
-    let limit = at(10) + STREAM_SILENCE;
+    let limit = at(10) + STREAM_IDLE_TIMEOUT;
     assert!(publisher.expire(limit).is_empty());
     publisher.report(2, &report("entry", NodeRole::Entry, 2, 1), limit);
     assert_eq!(publisher.expire(limit + DurationMs::new(1)), [1]);
--- a/crates/yuccatack_view/tests/view_consistency/simulation.rs
+++ b/crates/yuccatack_view/tests/view_consistency/simulation.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use yuccatack_core::prelude::*;
 use yuccatack_records::{RecordKey, RecordKind};
-use yuccatack_view::limits::{REPORT_INTERVAL, STREAM_SILENCE};
+use yuccatack_view::limits::{REPORT_INTERVAL, STREAM_IDLE_TIMEOUT};
 use yuccatack_view::{MinionState, NodeRole, PublishedRecord, RecordUpdate};
 
 use crate::invariants::{Contents, Invariants, Summary};
@@ -304,7 +304,7 @@
         self.links.insert(id, link);
         let node = &mut self.nodes[index];
         node.link = Some(id);
-        node.silent_at = now + STREAM_SILENCE.get();
+        node.silent_at = now + STREAM_IDLE_TIMEOUT.get();
         node.state.start_stream();
         self.send_report(index);
     }
@@ -313,7 +313,7 @@
         let now = self.now;
         let mut report_due = now >= self.nodes[index].report_at;
         while let Some(message) = self.links.get_mut(&id).and_then(|link| link.down.receive(now)) {
-            self.nodes[index].silent_at = now + STREAM_SILENCE.get();
+            self.nodes[index].silent_at = now + STREAM_IDLE_TIMEOUT.get();
             match message {
                 Down::Update(update) => {
                     match self.nodes[index].state.apply(update, TimestampMs::new(now)) {
