--- a/crates/yuccatack_control/src/operators.rs
+++ b/crates/yuccatack_control/src/operators.rs
@@ -114,7 +114,7 @@
 }
 
 fn kind_of(word: &str) -> Result<RecordKind, Status> {
-    RecordKind::from_word(word).ok_or_else(|| {
+    RecordKind::from_name(word).ok_or_else(|| {
         invalid(format!(
             "`{word}` is no record kind; use organisation, guarantee, job, policy, service, \
              objective or membership"
--- a/crates/yuccatack_control/src/state.rs
+++ b/crates/yuccatack_control/src/state.rs
@@ -4,7 +4,7 @@
 use yuccatack_core::prelude::*;
 use yuccatack_leases::{LeaseCommand, LeaseEvent, LeaseTable};
 use yuccatack_records::{
-    Change, ChangeOutcome, Operation, Record, RecordStore, Refusal, RefusalKind, Validated,
+    Change, ChangeOutcome, Operation, Record, RecordStore, Refusal, RefusalKind, ValidatedChange,
 };
 use yuccatack_requests::claims::{ClaimCommand, ClaimLimits, ClaimOutcome, ClaimTable};
 
@@ -108,7 +108,7 @@
                 outcome
             }
             Err(outcome) => {
-                self.records.remember(change, &outcome, now);
+                self.records.retain_outcome(change, &outcome, now);
                 outcome
             }
         }
@@ -117,7 +117,7 @@
     /// What a change of records means for jobs, guarantees and quotas, or why it cannot be kept.
     fn lease_commands(
         &self,
-        validated: &Validated,
+        validated: &ValidatedChange,
         now: TimestampMs,
     ) -> Result<Vec<LeaseCommand>, Refusal> {
         let Some(record) = validated.record() else {
--- a/crates/yuccatack_entry/src/operators.rs
+++ b/crates/yuccatack_entry/src/operators.rs
@@ -36,9 +36,9 @@
         match segments.as_slice() {
             ["changes"] => Some(Self::SubmitChange),
             ["changes", id] => Some(Self::Change(ChangeId::new(id))),
-            ["records", kind] => Some(Self::Records(RecordKind::from_word(kind)?)),
+            ["records", kind] => Some(Self::Records(RecordKind::from_name(kind)?)),
             ["records", kind, name] => {
-                let kind = RecordKind::from_word(kind)?;
+                let kind = RecordKind::from_name(kind)?;
                 Some(Self::Record(RecordKey { kind, name: RecordName::new(name).ok()? }))
             }
             ["status"] => Some(Self::Status),
--- a/crates/yuccatack_records/src/change.rs
+++ b/crates/yuccatack_records/src/change.rs
@@ -138,9 +138,9 @@
         Self::Superseded,
     ];
 
-    /// The kind that `word` stands for.
-    pub fn from_word(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|kind| kind.as_str() == word)
+    /// Returns the kind with this stable name, or `None` if there is none.
+    pub fn from_name(name: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 
     /// The stable word of the kind on the wire.
--- a/crates/yuccatack_records/src/change_history.rs
+++ b/crates/yuccatack_records/src/change_history.rs
@@ -9,17 +9,17 @@
 use crate::record::RecordKey;
 
 /// The most remembered changes: a week of the design size (6,700 changes and 8,600 jobs a day).
-pub const MAX_REMEMBERED_CHANGES: usize = 120_000;
+pub const MAX_RETAINED_CHANGE_COUNT: usize = 120_000;
 /// The longest time that a change is remembered.
-pub const MAX_REMEMBERED_AGE: DurationMs = DurationMs::from_seconds(7 * 24 * 3600);
+pub const MAX_RETAINED_AGE: DurationMs = DurationMs::from_seconds(7 * 24 * 3600);
 
 /// The most bytes of remembered refusals: a client that repeats a bad change for a week, each time
 /// with a new id and several kilobytes of problems, must not fill the memory of every replica.
-pub const MAX_REMEMBERED_MESSAGE_BYTES: u64 = 32 << 20;
+pub const MAX_RETAINED_MESSAGE_BYTES: u64 = 32 << 20;
 
 /// A remembered change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct RememberedChange {
+pub struct RetainedChange {
     /// The digest of its content.
     pub digest: ContentDigest,
     /// When it was applied.
@@ -36,14 +36,14 @@
 /// is no longer the current one, and is refused by the check of generations.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ChangeHistory {
-    changes: BTreeMap<ChangeId, RememberedChange>,
+    changes: BTreeMap<ChangeId, RetainedChange>,
     order: VecDeque<(TimestampMs, ChangeId)>,
     message_bytes: u64,
 }
 
 impl ChangeHistory {
     /// The change with this id, while it is remembered.
-    pub fn get(&self, change_id: &ChangeId) -> Option<&RememberedChange> {
+    pub fn get(&self, change_id: &ChangeId) -> Option<&RetainedChange> {
         self.changes.get(change_id)
     }
 
@@ -63,7 +63,7 @@
         if self.changes.contains_key(&change.change_id) {
             return;
         }
-        let remembered = RememberedChange {
+        let remembered = RetainedChange {
             digest: change.content_digest(),
             applied_at: now,
             key,
@@ -77,9 +77,9 @@
 
     fn forget(&mut self, now: TimestampMs) {
         while let Some((applied_at, _)) = self.order.front() {
-            let expired = now.since(*applied_at) > MAX_REMEMBERED_AGE;
-            let too_many = self.order.len() > MAX_REMEMBERED_CHANGES
-                || self.message_bytes > MAX_REMEMBERED_MESSAGE_BYTES;
+            let expired = now.since(*applied_at) > MAX_RETAINED_AGE;
+            let too_many = self.order.len() > MAX_RETAINED_CHANGE_COUNT
+                || self.message_bytes > MAX_RETAINED_MESSAGE_BYTES;
             if !expired && !too_many {
                 return;
             }
--- a/crates/yuccatack_records/src/lib.rs
+++ b/crates/yuccatack_records/src/lib.rs
@@ -22,14 +22,14 @@
 
 pub use change::{Change, ChangeOutcome, ContentDigest, Operation, Refusal, RefusalKind};
 pub use change_history::{
-    MAX_REMEMBERED_AGE, MAX_REMEMBERED_CHANGES, MAX_REMEMBERED_MESSAGE_BYTES, RememberedChange,
+    MAX_RETAINED_AGE, MAX_RETAINED_CHANGE_COUNT, MAX_RETAINED_MESSAGE_BYTES, RetainedChange,
 };
 pub use problem::RecordProblem;
 pub use record::{
     GuaranteeRecord, Indicator, JobRecord, MembershipRecord, MembershipReplica, ObjectiveRecord,
     OrganisationRecord, PolicyRecord, Record, RecordKey, RecordKind, ServiceRecord,
 };
-pub use store::{RecordStore, StoredRecord, Validated};
+pub use store::{RecordStore, StoredRecord, ValidatedChange};
 pub use wire::{
     DecodedDocument, MAX_DOCUMENT_LENGTH_BYTES, NEWEST_SCHEMA_VERSION, UnreadableOutcomeError,
     decode, decode_document, decode_key,
--- a/crates/yuccatack_records/src/record.rs
+++ b/crates/yuccatack_records/src/record.rs
@@ -50,9 +50,9 @@
         }
     }
 
-    /// The kind that `word` stands for.
-    pub fn from_word(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|kind| kind.as_str() == word)
+    /// Returns the kind with this stable name, or `None` if there is none.
+    pub fn from_name(name: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 }
 
--- a/crates/yuccatack_records/src/store.rs
+++ b/crates/yuccatack_records/src/store.rs
@@ -7,7 +7,7 @@
 use yuccatack_core::prelude::*;
 
 use crate::change::{Change, ChangeOutcome, Operation, Refusal, RefusalKind};
-use crate::change_history::{ChangeHistory, RememberedChange};
+use crate::change_history::{ChangeHistory, RetainedChange};
 use crate::record::{Record, RecordKey, RecordKind};
 use crate::references;
 use crate::wire::{decode_document, decode_key};
@@ -46,7 +46,7 @@
 
 /// A change that passed every check of the store and is not yet applied.
 #[derive(Clone, Debug)]
-pub struct Validated {
+pub struct ValidatedChange {
     change: Change,
     key: RecordKey,
     generation: Generation,
@@ -55,7 +55,7 @@
     content: Option<(u64, Arc<Record>)>,
 }
 
-impl Validated {
+impl ValidatedChange {
     /// The record that the change is about.
     pub const fn key(&self) -> &RecordKey {
         &self.key
@@ -83,7 +83,7 @@
         match self.validate(change, now) {
             Ok(validated) => self.commit(validated, now),
             Err(outcome) => {
-                self.remember(change, &outcome, now);
+                self.retain_outcome(change, &outcome, now);
                 outcome
             }
         }
@@ -92,10 +92,14 @@
     /// Checks a change without applying it.
     ///
     /// The error is the final answer: the remembered first answer to a resend, or a refusal, which
-    /// the caller passes to [`Self::remember`]. Between this and [`Self::commit`] the caller may
+    /// the caller passes to [`Self::retain_outcome`]. Between this and [`Self::commit`] the caller may
     /// check what only it knows; both run within the application of one log entry. The time is not
     /// used for decisions today and is taken so that a check by time stays deterministic.
-    pub fn validate(&self, change: &Change, _now: TimestampMs) -> Result<Validated, ChangeOutcome> {
+    pub fn validate(
+        &self,
+        change: &Change,
+        _now: TimestampMs,
+    ) -> Result<ValidatedChange, ChangeOutcome> {
         if let Some(first) = self.history.get(&change.change_id) {
             return Err(self.repeat(change, first));
         }
@@ -103,14 +107,14 @@
     }
 
     /// Applies a change that was checked against this state of the store.
-    pub fn commit(&mut self, validated: Validated, now: TimestampMs) -> ChangeOutcome {
+    pub fn commit(&mut self, validated: ValidatedChange, now: TimestampMs) -> ChangeOutcome {
         if validated.seen_revision != self.revision {
             let message = "another change was applied between the check and the commit; send the \
                            change again";
             return ChangeOutcome::Refused(Refusal::new(RefusalKind::Superseded, message));
         }
         let now = self.advance_clock(now);
-        let Validated { change, key, generation, content, .. } = validated;
+        let ValidatedChange { change, key, generation, content, .. } = validated;
         debug_assert!(generation > self.current_generation(&key), "{key} would go back");
         self.revision = self.revision.next();
         let revision = self.revision;
@@ -134,7 +138,7 @@
     /// Remembers the refusal of a change, so that a resend gets the same answer.
     ///
     /// An id that is remembered already keeps its first answer.
-    pub fn remember(&mut self, change: &Change, outcome: &ChangeOutcome, now: TimestampMs) {
+    pub fn retain_outcome(&mut self, change: &Change, outcome: &ChangeOutcome, now: TimestampMs) {
         let now = self.advance_clock(now);
         // A malformed id is refused for its form alone and takes no memory.
         if check_change_id(&change.change_id).is_ok() {
@@ -164,12 +168,12 @@
     }
 
     /// A change while it is remembered.
-    pub fn change(&self, change_id: &ChangeId) -> Option<&RememberedChange> {
+    pub fn change(&self, change_id: &ChangeId) -> Option<&RetainedChange> {
         self.history.get(change_id)
     }
 
     /// How many changes are remembered.
-    pub fn remembered_change_count(&self) -> usize {
+    pub fn retained_change_count(&self) -> usize {
         self.history.count()
     }
 
@@ -186,7 +190,7 @@
         self.clock
     }
 
-    fn repeat(&self, change: &Change, first: &RememberedChange) -> ChangeOutcome {
+    fn repeat(&self, change: &Change, first: &RetainedChange) -> ChangeOutcome {
         if first.digest == change.content_digest() {
             return first.outcome.clone();
         }
@@ -197,7 +201,7 @@
         ChangeOutcome::Refused(Refusal::new(RefusalKind::ChangeIdReused, &message))
     }
 
-    fn check(&self, change: &Change) -> Result<Validated, Refusal> {
+    fn check(&self, change: &Change) -> Result<ValidatedChange, Refusal> {
         check_change_id(&change.change_id)?;
         let document = change.document.as_bytes();
         let refuse = |problems: Vec<_>| Refusal::from_problems(&problems);
@@ -215,7 +219,7 @@
         }
         let generation = self.current_generation(&key).next();
         let seen_revision = self.revision;
-        Ok(Validated { change: change.clone(), key, generation, seen_revision, content })
+        Ok(ValidatedChange { change: change.clone(), key, generation, seen_revision, content })
     }
 
     fn check_generation(&self, change: &Change, key: &RecordKey) -> Result<(), Refusal> {
--- a/crates/yuccatack_records/src/wire/document.rs
+++ b/crates/yuccatack_records/src/wire/document.rs
@@ -261,7 +261,7 @@
         problems.push(RecordProblem::WrongType { field, detail });
         return None;
     };
-    let kind = RecordKind::from_word(word);
+    let kind = RecordKind::from_name(word);
     if kind.is_none() {
         let allowed = RecordKind::ALL.map(RecordKind::as_str).join(", ");
         let found = word.to_owned();
--- a/crates/yuccatack_records/src/wire/protocol.rs
+++ b/crates/yuccatack_records/src/wire/protocol.rs
@@ -90,7 +90,7 @@
                 revision: Revision::new(accepted.revision),
             }),
             Some(wire::submit_change_response::Outcome::Refused(refused)) => {
-                let kind = RefusalKind::from_word(&refused.kind).ok_or_else(|| {
+                let kind = RefusalKind::from_name(&refused.kind).ok_or_else(|| {
                     let detail = format!("the unknown kind of refusal `{}`", refused.kind);
                     UnreadableOutcomeError { detail }
                 })?;
--- a/crates/yuccatack_records/tests/bad_records.rs
+++ b/crates/yuccatack_records/tests/bad_records.rs
@@ -116,12 +116,12 @@
         let ChangeOutcome::Refused(refusal) = outcome else { panic!("{id} was accepted") };
         assert!(refusal.message.len() <= 4096, "{}", refusal.message.len());
     }
-    let remembered = store.remembered_change_count();
+    let remembered = store.retained_change_count();
     for id in ["", "with space", "\u{e9}", &"x".repeat(129)] {
         let outcome = store.apply(&change(id, Operation::Submit, 0, "{}"), NOW);
         assert!(matches!(outcome, ChangeOutcome::Refused(_)));
     }
-    assert_eq!(store.remembered_change_count(), remembered);
+    assert_eq!(store.retained_change_count(), remembered);
 }
 
 /// Guards against deeply nested input that exhausts the stack of every replica.
--- a/crates/yuccatack_records/tests/change_ids.rs
+++ b/crates/yuccatack_records/tests/change_ids.rs
@@ -6,7 +6,7 @@
 use support::{NOW, accepted, change, key, organisation, refused, store_with_organisation};
 use yuccatack_core::prelude::*;
 use yuccatack_records::{
-    ChangeOutcome, MAX_REMEMBERED_AGE, MAX_REMEMBERED_CHANGES, MAX_REMEMBERED_MESSAGE_BYTES,
+    ChangeOutcome, MAX_RETAINED_AGE, MAX_RETAINED_CHANGE_COUNT, MAX_RETAINED_MESSAGE_BYTES,
     Operation, RecordKind, RecordStore, Refusal, RefusalKind,
 };
 
@@ -72,11 +72,11 @@
 #[test]
 fn memory_is_bounded() {
     let mut store = store_with_organisation("tri");
-    for index in 0..MAX_REMEMBERED_CHANGES + 10 {
+    for index in 0..MAX_RETAINED_CHANGE_COUNT + 10 {
         let change = change(&format!("c{index}"), Operation::Withdraw, 9, &organisation("x", 1));
         store.apply(&change, NOW);
     }
-    assert_eq!(store.remembered_change_count(), MAX_REMEMBERED_CHANGES);
+    assert_eq!(store.retained_change_count(), MAX_RETAINED_CHANGE_COUNT);
 }
 
 /// Guards against refusals with long messages that fill the memory of every replica.
@@ -88,11 +88,11 @@
     let outcome = ChangeOutcome::Refused(refusal);
     for index in 0..10_000 {
         let change = change(&format!("c{index}"), Operation::Withdraw, 9, &organisation("x", 1));
-        store.remember(&change, &outcome, NOW);
+        store.retain_outcome(&change, &outcome, NOW);
     }
-    let remembered = store.remembered_change_count() as u64;
-    assert!(remembered * bytes_each <= MAX_REMEMBERED_MESSAGE_BYTES, "{remembered}");
-    assert!((remembered + 2) * bytes_each > MAX_REMEMBERED_MESSAGE_BYTES, "{remembered}");
+    let remembered = store.retained_change_count() as u64;
+    assert!(remembered * bytes_each <= MAX_RETAINED_MESSAGE_BYTES, "{remembered}");
+    assert!((remembered + 2) * bytes_each > MAX_RETAINED_MESSAGE_BYTES, "{remembered}");
 }
 
 /// Guards against a submission, change or withdrawal that is applied again once its id is
@@ -109,9 +109,9 @@
     for change in &changes {
         accepted(&store.apply(change, NOW));
     }
-    let later = NOW + MAX_REMEMBERED_AGE + DurationMs::new(1);
+    let later = NOW + MAX_RETAINED_AGE + DurationMs::new(1);
     accepted(&store.apply(&change("o", Operation::Submit, 0, &organisation("o", 1)), later));
-    assert_eq!(store.remembered_change_count(), 1);
+    assert_eq!(store.retained_change_count(), 1);
     for change in &changes {
         refused(&store.apply(change, later));
     }
--- a/crates/yuccatack_records/tests/operator_races/history.rs
+++ b/crates/yuccatack_records/tests/operator_races/history.rs
@@ -5,7 +5,7 @@
 
 use yuccatack_core::prelude::*;
 use yuccatack_records::{
-    Change, ChangeOutcome, MAX_REMEMBERED_AGE, Operation, RecordKey, RecordStore, RefusalKind,
+    Change, ChangeOutcome, MAX_RETAINED_AGE, Operation, RecordKey, RecordStore, RefusalKind,
     decode_key,
 };
 
@@ -42,7 +42,7 @@
         self.latest = self.latest.max(now);
         if let Some(first) = self.first_answers.get(&change.change_id) {
             assert_eq!(&first.change, change, "the simulation reuses no id");
-            let forgotten = self.latest.since(first.applied_at) > MAX_REMEMBERED_AGE;
+            let forgotten = self.latest.since(first.applied_at) > MAX_RETAINED_AGE;
             if !forgotten {
                 assert_eq!(outcome, &first.outcome, "resend of {change:?}");
                 self.summary.repeated += 1;
--- a/crates/yuccatack_view/src/wire.rs
+++ b/crates/yuccatack_view/src/wire.rs
@@ -33,7 +33,7 @@
 }
 
 fn kind(word: &str) -> Result<RecordKind, WireError> {
-    RecordKind::from_word(word).ok_or_else(|| invalid("kind", word))
+    RecordKind::from_name(word).ok_or_else(|| invalid("kind", word))
 }
 
 impl TryFrom<wire::NodeReport> for Report {
