--- a/crates/yuccatack_records/examples/store_cost.rs
+++ b/crates/yuccatack_records/examples/store_cost.rs
@@ -1,4 +1,4 @@
-//! Measures memory, snapshot size and apply rate of the record store for growing numbers of jobs.
+//! Measures memory, snapshot size and apply rate of the record store at increasing numbers of jobs.
 //!
 //! `cargo run --release --package yuccatack_records --example store_cost`
 #![allow(clippy::print_stdout, clippy::unwrap_used)]
@@ -9,7 +9,7 @@
 use yuccatack_core::prelude::*;
 use yuccatack_records::{Change, ChangeOutcome, Operation, RecordStore};
 
-/// The system's page size in kB; Linux counts resident memory in pages.
+/// Page size of the system; `/proc/self/statm` counts resident memory in pages.
 const PAGE_KB: u64 = 4;
 
 fn resident_kb() -> u64 {
@@ -73,7 +73,7 @@
     withdraw_all(store, count);
 }
 
-/// What a withdrawn name costs once its change ids are forgotten.
+/// Measures the snapshot size of a withdrawn name before and after its change ids are evicted.
 fn withdraw_all(mut store: RecordStore, count: u64) {
     let started = Instant::now();
     for index in 0..count {
@@ -82,12 +82,12 @@
     }
     let withdrawals_per_s = count as f64 / started.elapsed().as_secs_f64();
     let before = rmp_serde::to_vec_named(&store).unwrap().len();
-    // Eight days later one more change makes the store forget the others.
-    let later = 8 * 24 * 3600 * 1000;
+    // Changes are retained for seven days, so a change eight days later evicts the others.
+    let eight_days_ms = 8 * 24 * 3600 * 1000;
     let policy = r#"{"schema_version":1,"kind":"policy","name":"p","completion_percent":50}"#;
-    apply(&mut store, &change("late".to_owned(), Operation::Submit, 0, policy), later);
+    apply(&mut store, &change("late".to_owned(), Operation::Submit, 0, policy), eight_days_ms);
     let after = rmp_serde::to_vec_named(&store).unwrap().len();
     println!("withdrawals/s: {withdrawals_per_s:.0}");
     println!("snapshot of {count} withdrawn names: {before} bytes with their change ids,");
-    println!("  {after} bytes after these are forgotten ({} bytes a name)", after as u64 / count);
+    println!("  {after} bytes after these are evicted ({} bytes a name)", after as u64 / count);
 }
--- a/crates/yuccatack_records/src/change.rs
+++ b/crates/yuccatack_records/src/change.rs
@@ -1,4 +1,4 @@
-//! A change that an operator asks for and what became of it.
+//! A change that an operator requests, and its outcome.
 
 use std::sync::Arc;
 
@@ -8,11 +8,11 @@
 use crate::problem::RecordProblem;
 use crate::record::RecordKey;
 
-/// What a change does.
+/// The effect of a change on its record.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Operation {
-    /// Brings a record that is not in force.
+    /// Puts a record in force under a kind and name that has none.
     Submit,
     /// Replaces a record that is in force.
     Change,
@@ -21,7 +21,7 @@
 }
 
 impl Operation {
-    /// The word that stands for the operation.
+    /// Returns the stable identifier of the operation, which is part of the content digest.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Submit => "submit",
@@ -34,18 +34,19 @@
 /// A change as an operator sent it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The operator's identifier, so that a resend gets the first answer.
+    /// Identifier chosen by the operator; a resend with the same identifier gets the first outcome.
     pub change_id: ChangeId,
-    /// What to do.
+    /// Effect on the record: submission, replacement or withdrawal.
     pub operation: Operation,
-    /// The generation that the change replaces; 0 for a name that was never in use.
+    /// Generation that the change replaces; 0 for a name that was never in use.
     pub replaces_generation: Generation,
-    /// The JSON document as written; a withdrawal reads only `kind` and `name`.
+    /// JSON document as the operator wrote it; a withdrawal reads only `kind` and `name`.
     pub document: Arc<str>,
 }
 
 impl Change {
-    /// A digest of everything but the change id, to tell a resend from another change.
+    /// Returns a digest of everything but the change id, which distinguishes a resend from another
+    /// change under the same id.
     pub fn content_digest(&self) -> ContentDigest {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.operation.as_str().as_bytes());
@@ -57,26 +58,26 @@
     }
 }
 
-/// The digest of a change's content.
+/// A 128-bit BLAKE3 digest of the operation, replaced generation and document of a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ContentDigest([u8; 16]);
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// The change is logged and comes into force.
+    /// The change was applied; the record comes into force.
     Accepted {
-        /// The new generation of the record.
+        /// Generation of the record after the change.
         generation: Generation,
-        /// The position among all changes.
+        /// Position among all accepted changes of the store.
         revision: Revision,
     },
-    /// The change has no effect.
+    /// The change was rejected and has no effect.
     Refused(Refusal),
 }
 
 impl ChangeOutcome {
-    /// The revision of an accepted change.
+    /// Returns the revision of an accepted change, or `None` for a refused one.
     pub const fn revision(&self) -> Option<Revision> {
         match self {
             Self::Accepted { revision, .. } => Some(*revision),
@@ -85,19 +86,19 @@
     }
 }
 
-/// Why a change was refused.
+/// The reason for which a change was refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// The record has another generation than the change replaces.
+    /// The current generation of the record differs from the one that the change replaces.
     Conflict,
-    /// The change id belongs to a change with other content.
+    /// The change id was already used for a change with different content.
     ChangeIdReused,
     /// The change itself is malformed, for example an empty change id.
     InvalidChange,
-    /// The document has problems.
+    /// The document is malformed or violates a constraint of its schema.
     InvalidRecord,
-    /// The document is written in a newer schema version.
+    /// The document has a schema version that this replica does not support.
     NewerSchemaVersion,
     /// The record refers to an organisation that is not in force.
     UnknownOrganisation,
@@ -109,18 +110,18 @@
     NotFound,
     /// Other records refer to the record that is to be withdrawn.
     InUse,
-    /// The guarantee cannot be kept together with those in force.
+    /// The guarantee cannot be satisfied together with those in force.
     GuaranteeDoesNotFit,
-    /// No worker can ever run the job.
+    /// The job can never start, for example because it exceeds the quota or fits no worker.
     JobCanNeverRun,
-    /// The wanted replicas cannot be reached safely.
+    /// The requested membership cannot be reached safely.
     UnsafeMembership,
-    /// The store changed between the two stages of the check.
+    /// The store changed between validation and commit.
     Superseded,
 }
 
 impl RefusalKind {
-    /// Every kind.
+    /// All kinds, in declaration order.
     pub const ALL: [Self; 14] = [
         Self::Conflict,
         Self::ChangeIdReused,
@@ -138,12 +139,12 @@
         Self::Superseded,
     ];
 
-    /// Returns the kind with this stable name, or `None` if there is none.
+    /// Returns the kind with this stable identifier, or `None` if there is none.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
 
-    /// The stable word of the kind on the wire.
+    /// Returns the stable identifier of the kind on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Conflict => "conflict",
@@ -164,24 +165,24 @@
     }
 }
 
-/// Problems listed in one refusal; more are counted.
-const MAX_LISTED_PROBLEMS: usize = 32;
-/// The longest remembered message; it bounds the memory of remembered refusals.
+/// Maximum number of problems listed in one refusal; the message states how many follow.
+const MAX_LISTED_PROBLEM_COUNT: usize = 32;
+/// Maximum length of a refusal message; bounds the memory of retained refusals.
 const MAX_MESSAGE_LENGTH_BYTES: usize = 4096;
 
 /// A refused change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason, as a stable identifier for clients.
     pub kind: RefusalKind,
-    /// What is wrong, and the remedy.
+    /// Description of the fault and its remedy, at most 4096 bytes long.
     pub message: Arc<str>,
-    /// The generation now in force, or that of the withdrawal; 0 when the name was never in use.
+    /// Generation in force, or that of the withdrawal; 0 if the name was never in use.
     pub current_generation: Generation,
 }
 
 impl Refusal {
-    /// Makes a refusal that has nothing to do with a generation.
+    /// Creates a refusal without a current generation; truncates a message that is too long.
     pub fn new(kind: RefusalKind, message: &str) -> Self {
         let mut end = message.len().min(MAX_MESSAGE_LENGTH_BYTES);
         while !message.is_char_boundary(end) {
@@ -191,29 +192,29 @@
         Self { kind, message, current_generation: Generation::default() }
     }
 
-    /// States the generation that the operator should look at.
+    /// Sets the generation that the operator has to replace.
     pub fn with_current_generation(self, current_generation: Generation) -> Self {
         Self { current_generation, ..self }
     }
 
-    /// The refusal of a document with problems.
+    /// Creates the refusal of an invalid document, with one line per problem.
     pub fn from_problems(problems: &[RecordProblem]) -> Self {
-        let newer =
+        let is_newer_version =
             |problem: &RecordProblem| matches!(problem, RecordProblem::NewerSchemaVersion { .. });
-        let kind = if problems.iter().any(newer) {
+        let kind = if problems.iter().any(is_newer_version) {
             RefusalKind::NewerSchemaVersion
         } else {
             RefusalKind::InvalidRecord
         };
         let mut lines: Vec<String> =
-            problems.iter().take(MAX_LISTED_PROBLEMS).map(ToString::to_string).collect();
-        if problems.len() > MAX_LISTED_PROBLEMS {
-            lines.push(format!("and {} more problems", problems.len() - MAX_LISTED_PROBLEMS));
+            problems.iter().take(MAX_LISTED_PROBLEM_COUNT).map(ToString::to_string).collect();
+        if problems.len() > MAX_LISTED_PROBLEM_COUNT {
+            lines.push(format!("and {} more problems", problems.len() - MAX_LISTED_PROBLEM_COUNT));
         }
         Self::new(kind, &lines.join("\n"))
     }
 
-    /// The refusal of a change that replaces another generation than the current one.
+    /// Creates the refusal of a change that does not replace the current generation.
     pub fn conflict(key: &RecordKey, replaces: Generation, current: Generation) -> Self {
         let message = format!(
             "{key} is at generation {current}, and the change replaces generation {replaces}; read \
--- a/crates/yuccatack_records/src/change_history.rs
+++ b/crates/yuccatack_records/src/change_history.rs
@@ -1,4 +1,4 @@
-//! The bounded memory of change ids, so that a resend gets the first answer.
+//! Bounded history of change ids, from which a resend gets the first outcome.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,32 +8,34 @@
 use crate::change::{Change, ChangeOutcome, ContentDigest};
 use crate::record::RecordKey;
 
-/// The most remembered changes: a week of the design size (6,700 changes and 8,600 jobs a day).
+/// Maximum number of retained changes: one week at the design size of 6,700 changes and 8,600 jobs
+/// a day.
 pub const MAX_RETAINED_CHANGE_COUNT: usize = 120_000;
-/// The longest time that a change is remembered.
+/// Maximum time for which a change is retained, one week.
 pub const MAX_RETAINED_AGE: DurationMs = DurationMs::from_seconds(7 * 24 * 3600);
 
-/// The most bytes of remembered refusals: a client that repeats a bad change for a week, each time
-/// with a new id and several kilobytes of problems, must not fill the memory of every replica.
+/// Maximum total size of retained refusal messages. A client that repeats a bad change for a week,
+/// each time with a new id and several kilobytes of problems, must not exhaust the memory of the
+/// replicas.
 pub const MAX_RETAINED_MESSAGE_BYTES: u64 = 32 << 20;
 
-/// A remembered change.
+/// The outcome of a change, retained so that a resend gets the same one.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct RetainedChange {
-    /// The digest of its content.
+    /// Digest that distinguishes a resend from another change under the same id.
     pub digest: ContentDigest,
-    /// When it was applied.
+    /// Time at which the change was applied or refused.
     pub applied_at: TimestampMs,
-    /// The record, if the document named one.
+    /// Key of the record, if the document contained a valid one.
     pub key: Option<RecordKey>,
-    /// The answer.
+    /// Outcome that every resend gets.
     pub outcome: ChangeOutcome,
 }
 
-/// The remembered changes, oldest forgotten first.
+/// The retained changes, evicted oldest first.
 ///
-/// Forgetting is safe: an accepted change that is sent again after that replaces a generation that
-/// is no longer the current one, and is refused by the check of generations.
+/// Eviction is safe: an accepted change that is resent later replaces a generation that is no
+/// longer the current one, so the generation check refuses it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ChangeHistory {
     changes: BTreeMap<ChangeId, RetainedChange>,
@@ -42,18 +44,18 @@
 }
 
 impl ChangeHistory {
-    /// The change with this id, while it is remembered.
+    /// Returns the change with this id, or `None` if it is unknown or was evicted.
     pub fn get(&self, change_id: &ChangeId) -> Option<&RetainedChange> {
         self.changes.get(change_id)
     }
 
-    /// How many changes are remembered.
+    /// Returns the number of retained changes.
     pub fn count(&self) -> usize {
         self.changes.len()
     }
 
-    /// Remembers the first answer to a change; a later answer to the same id changes nothing.
-    pub(crate) fn remember(
+    /// Retains the first outcome of a change; a later outcome of the same id is ignored.
+    pub(crate) fn insert(
         &mut self,
         change: &Change,
         key: Option<RecordKey>,
@@ -63,29 +65,30 @@
         if self.changes.contains_key(&change.change_id) {
             return;
         }
-        let remembered = RetainedChange {
+        let retained = RetainedChange {
             digest: change.content_digest(),
             applied_at: now,
             key,
             outcome: outcome.clone(),
         };
         self.message_bytes += message_bytes(outcome);
-        self.changes.insert(change.change_id.clone(), remembered);
+        self.changes.insert(change.change_id.clone(), retained);
         self.order.push_back((now, change.change_id.clone()));
-        self.forget(now);
+        self.evict_oldest(now);
     }
 
-    fn forget(&mut self, now: TimestampMs) {
+    /// Evicts expired changes, and the oldest ones while the history exceeds its limits.
+    fn evict_oldest(&mut self, now: TimestampMs) {
         while let Some((applied_at, _)) = self.order.front() {
             let expired = now.since(*applied_at) > MAX_RETAINED_AGE;
-            let too_many = self.order.len() > MAX_RETAINED_CHANGE_COUNT
+            let over_limit = self.order.len() > MAX_RETAINED_CHANGE_COUNT
                 || self.message_bytes > MAX_RETAINED_MESSAGE_BYTES;
-            if !expired && !too_many {
+            if !expired && !over_limit {
                 return;
             }
             let oldest = self.order.pop_front();
-            if let Some(forgotten) = oldest.and_then(|(_, id)| self.changes.remove(&id)) {
-                self.message_bytes -= message_bytes(&forgotten.outcome);
+            if let Some(evicted) = oldest.and_then(|(_, id)| self.changes.remove(&id)) {
+                self.message_bytes -= message_bytes(&evicted.outcome);
             }
         }
     }
--- a/crates/yuccatack_records/src/lib.rs
+++ b/crates/yuccatack_records/src/lib.rs
@@ -1,12 +1,12 @@
 //! Operators' records: schema versions, generations and change identifiers.
 //!
-//! [`RecordStore`] is a pure, replicated state machine; [`decode`] reads a document of any kind and
-//! schema version into one internal type.
+//! [`RecordStore`] is a deterministic replicated state machine without I/O. [`decode`] converts a
+//! document of any kind and schema version to one internal type.
 
 /// Generated wire types and services; regenerate with `cargo run --package codegen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic, rustdoc::all)]
 pub mod generated {
-    /// The `records` protocol.
+    /// Messages and services of `proto/records.proto`.
     #[path = "yuccatack.records.v1.rs"]
     pub mod records;
 }
--- a/crates/yuccatack_records/src/problem.rs
+++ b/crates/yuccatack_records/src/problem.rs
@@ -1,116 +1,116 @@
-//! What can be wrong with a document; each message names the remedy.
+//! Problems of a document; each message states the remedy.
 
 use snafu::Snafu;
 
-/// One problem of a document.
+/// A single problem of a document.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RecordProblem {
-    /// The document is not JSON.
+    /// The document is not a JSON object.
     #[snafu(display("the document is not a JSON object ({detail}); send one JSON object"))]
     NotAnObject {
-        /// What the parser found.
+        /// Error of the JSON parser, with line and column.
         detail: String,
     },
-    /// The document is too long.
+    /// The document exceeds the length limit.
     #[snafu(display(
-        "the document has {length_bytes} bytes; shorten it to at most {most_bytes} bytes"
+        "the document has {length_bytes} bytes; shorten it to at most {max_bytes} bytes"
     ))]
     DocumentTooLong {
-        /// The length found.
+        /// Length of the document.
         length_bytes: usize,
-        /// The longest accepted length.
-        most_bytes: usize,
+        /// Maximum accepted length.
+        max_bytes: usize,
     },
-    /// A key occurs twice.
+    /// A top-level key occurs more than once.
     #[snafu(display("`{field}` occurs more than once; keep one of them"))]
     DuplicateKey {
-        /// The key.
+        /// Path of the key in the document, for example `replicas[0].address`.
         field: String,
     },
-    /// A key is not known.
+    /// The schema version has no such key.
     #[snafu(display("`{field}` is not a known key; {hint}"))]
     UnknownKey {
-        /// The key.
+        /// Path of the key in the document, for example `replicas[0].address`.
         field: String,
-        /// The nearest known key, or all of them.
+        /// The most similar known key, or the list of all known keys.
         hint: String,
     },
-    /// A value has the wrong type.
+    /// A value has the wrong type, or a number does not fit its type.
     #[snafu(display("`{field}` has the wrong type or size: {detail}; correct the value"))]
     WrongType {
-        /// The key.
+        /// Path of the key in the document, for example `replicas[0].address`.
         field: String,
-        /// What was found and expected.
+        /// Found and expected type, as the deserializer reports them.
         detail: String,
     },
-    /// A required key is missing.
+    /// A required key is absent.
     #[snafu(display("`{field}` is missing; add it"))]
     Missing {
-        /// The key.
+        /// Path of the key in the document, for example `replicas[0].address`.
         field: String,
     },
-    /// A name is not valid.
+    /// A name violates the syntax of names.
     #[snafu(display("`{field}`: {detail}"))]
     InvalidName {
-        /// The key.
+        /// Path of the key in the document, for example `replicas[0].address`.
         field: String,
-        /// What is wrong, with the allowed characters.
+        /// The violated rule, with the allowed characters.
         detail: String,
     },
-    /// A number is out of range.
-    #[snafu(display("`{field}` is {found}; use {least} to {most}"))]
+    /// A number is outside its accepted range.
+    #[snafu(display("`{field}` is {found}; use {min} to {max}"))]
     OutOfRange {
-        /// The key.
+        /// Path of the key in the document, for example `replicas[0].address`.
         field: String,
-        /// The number found.
+        /// Number in the document.
         found: String,
-        /// The smallest accepted number.
-        least: String,
-        /// The largest accepted number.
-        most: String,
+        /// Smallest accepted number.
+        min: String,
+        /// Largest accepted number.
+        max: String,
     },
-    /// A word is not one of a closed set.
+    /// A value is not one of a closed set of identifiers.
     #[snafu(display("`{field}` is `{found}`; use one of {allowed}"))]
-    UnknownWord {
-        /// The key.
+    UnknownValue {
+        /// Path of the key in the document, for example `replicas[0].address`.
         field: String,
-        /// The word found.
+        /// Value in the document.
         found: String,
-        /// The accepted words.
+        /// Accepted values, separated by commas.
         allowed: String,
     },
-    /// The same entry occurs twice in a list.
+    /// A list contains the same entry more than once.
     #[snafu(display("`{field}` holds `{entry}` more than once; keep one of them"))]
     DuplicateEntry {
-        /// The key of the list.
+        /// Path of the list in the document.
         field: String,
-        /// The entry.
+        /// The repeated entry, formatted as in the document.
         entry: String,
     },
-    /// The record cannot mean anything.
+    /// Values contradict each other or violate a rule that spans several keys.
     #[snafu(display("`{field}`: {detail}"))]
     Inconsistent {
-        /// The key.
+        /// Path of the key in the document, for example `replicas[0].address`.
         field: String,
-        /// What is wrong and the remedy.
+        /// The violated rule and the remedy.
         detail: String,
     },
-    /// The document is written in a schema version that this program does not know.
+    /// The document has a schema version that this program does not support.
     #[snafu(display(
         "schema version {found} is newer than {newest}, the newest one that this control replica \
          knows; upgrade every control replica first, or write the record in version {newest}"
     ))]
     NewerSchemaVersion {
-        /// The version found.
+        /// Schema version of the document.
         found: u64,
-        /// The newest known version.
+        /// Newest supported version.
         newest: u64,
     },
 }
 
 impl RecordProblem {
-    /// The key that the problem is about.
+    /// Returns the path of the affected key, or `None` if the problem concerns the whole document.
     pub fn field(&self) -> Option<&str> {
         match self {
             Self::NotAnObject { .. }
@@ -122,7 +122,7 @@
             | Self::Missing { field }
             | Self::InvalidName { field, .. }
             | Self::OutOfRange { field, .. }
-            | Self::UnknownWord { field, .. }
+            | Self::UnknownValue { field, .. }
             | Self::DuplicateEntry { field, .. }
             | Self::Inconsistent { field, .. } => Some(field),
         }
--- a/crates/yuccatack_records/src/record.rs
+++ b/crates/yuccatack_records/src/record.rs
@@ -1,32 +1,32 @@
-//! The one internal type of each record kind; every schema version is converted into it.
+//! Internal types of the record kinds; all schema versions are converted to them.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
 
-/// The kinds of record.
+/// The kind of a record.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordKind {
     /// A tenant with its quota and limits.
     Organisation,
-    /// A shape that an organisation can always claim.
+    /// Capacity that an organisation can claim at any time.
     Guarantee,
-    /// A job to run.
+    /// A batch job with its shape and command.
     Job,
-    /// Weights and reserve of the scheduling policy.
+    /// Scheduling policy: placement weights and reserve.
     Policy,
-    /// A pool of minions.
+    /// A pool of minions that serve the same requests.
     Service,
     /// A service-level objective.
     Objective,
-    /// The control replicas.
+    /// Voting members of the control group.
     Membership,
 }
 
 impl RecordKind {
-    /// Every kind.
+    /// All kinds, in declaration order.
     pub const ALL: [Self; 7] = [
         Self::Organisation,
         Self::Guarantee,
@@ -37,7 +37,7 @@
         Self::Membership,
     ];
 
-    /// The word that stands for the kind in documents and messages.
+    /// Returns the stable identifier of the kind in documents and messages.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Organisation => "organisation",
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the kind with this stable name, or `None` if there is none.
+    /// Returns the kind with this stable identifier, or `None` if there is none.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == name)
     }
@@ -62,12 +62,12 @@
     }
 }
 
-/// The kind and name of a record.
+/// The primary key of a record: its kind and name.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RecordKey {
-    /// The kind.
+    /// Kind, which is the namespace of the name.
     pub kind: RecordKind,
-    /// The name.
+    /// Name, unique within the kind.
     pub name: RecordName,
 }
 
@@ -80,24 +80,24 @@
 /// A record of any kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// See [`OrganisationRecord`].
+    /// A tenant with its quota and limits.
     Organisation(OrganisationRecord),
-    /// See [`GuaranteeRecord`].
+    /// Capacity that an organisation can claim at any time.
     Guarantee(GuaranteeRecord),
-    /// See [`JobRecord`].
+    /// A batch job.
     Job(JobRecord),
-    /// See [`PolicyRecord`].
+    /// The scheduling policy.
     Policy(PolicyRecord),
-    /// See [`ServiceRecord`].
+    /// A pool of minions.
     Service(ServiceRecord),
-    /// See [`ObjectiveRecord`].
+    /// A service-level objective.
     Objective(ObjectiveRecord),
-    /// See [`MembershipRecord`].
+    /// The voting control replicas.
     Membership(MembershipRecord),
 }
 
 impl Record {
-    /// The kind of the record.
+    /// Returns the kind of the record.
     pub const fn kind(&self) -> RecordKind {
         match self {
             Self::Organisation(_) => RecordKind::Organisation,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The organisation that the record refers to.
+    /// Returns the organisation that the record refers to, if its kind has one.
     pub const fn organisation(&self) -> Option<&OrganisationName> {
         match self {
             Self::Guarantee(guarantee) => Some(&guarantee.organisation),
@@ -123,126 +123,126 @@
     }
 }
 
-/// A tenant.
+/// A tenant with its quota, fair share and request limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OrganisationRecord {
-    /// The organisation.
+    /// Name of the organisation, unique among organisations.
     pub name: OrganisationName,
-    /// The most accelerators that its jobs may hold at once, guaranteed or borrowed.
+    /// Maximum number of accelerators that its jobs may hold at once, guaranteed or borrowed.
     pub accelerator_quota_count: u32,
-    /// Its share in comparison with others when work queues up.
+    /// Weight of the organisation in fair sharing when jobs are waiting.
     pub fair_share_weight: u32,
-    /// The most requests a second that it may send.
+    /// Maximum request rate, in requests per second.
     pub request_rate_per_s: u32,
-    /// The most requests that it may have in flight.
+    /// Maximum number of requests in flight.
     pub request_concurrency_count: u32,
 }
 
-/// A guaranteed shape.
+/// A number of equal shapes that an organisation can claim at any time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GuaranteeRecord {
-    /// The guarantee.
+    /// Name of the guarantee, unique among guarantees.
     pub name: RecordName,
-    /// Who holds it.
+    /// Organisation that may claim the shapes.
     pub organisation: OrganisationName,
-    /// The guaranteed shape.
+    /// Tasks and resources of one instance.
     pub shape: Shape,
-    /// How many of these shapes are guaranteed at once.
+    /// Number of these shapes that are guaranteed at the same time.
     pub shape_count: u32,
-    /// Where the shapes may lie; empty means anywhere.
+    /// Data centres that may host the shapes; empty allows all of them.
     pub data_centres: Vec<DataCentreName>,
 }
 
-/// A job.
+/// A batch job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The job.
+    /// Name of the job, unique among jobs.
     pub name: JobName,
-    /// Who runs it.
+    /// Organisation whose quota the job counts against.
     pub organisation: OrganisationName,
-    /// What it occupies.
+    /// Tasks of the job and the resources of each.
     pub shape: Shape,
-    /// How urgent it is.
+    /// Priority class in scheduling.
     pub class: PriorityClass,
-    /// The run time that the organisation expects; advice only.
+    /// Run time that the organisation expects, in seconds; an estimate that is not enforced.
     pub declared_run_time_s: u64,
-    /// Whether the job may be run again after a lost attempt.
+    /// `true` if the job may be run again after a lost attempt.
     pub idempotent: bool,
-    /// Whether the job can be stopped at a checkpoint and go on elsewhere.
+    /// `true` if the job can be stopped at a checkpoint and resumed on other workers.
     pub checkpointable: bool,
-    /// The command line that the worker runs.
+    /// Program and arguments that the worker runs.
     pub command: Vec<String>,
 }
 
-/// Weights and reserve of the scheduling policy.
+/// The scheduling policy: placement weights and reserve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyRecord {
-    /// The policy.
+    /// Name of the policy, unique among policies.
     pub name: RecordName,
-    /// The weight of the expected completion delay.
+    /// Weight of the expected completion delay in the placement score.
     pub completion_weight: f64,
-    /// The weight of growth in fragmentation.
+    /// Weight of added fragmentation in the placement score.
     pub fragmentation_weight: f64,
-    /// The healthy workers per data centre that guarantees leave unused, for failures.
+    /// Number of healthy workers per data centre that guarantees leave unused, to absorb failures.
     pub reserve_worker_count: u32,
 }
 
-/// A pool of minions.
+/// A pool of minions that serve the same requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// The service.
+    /// Name of the service, unique among services.
     pub name: ServiceName,
-    /// The requests that one minion runs at once.
+    /// Number of requests that one minion processes concurrently.
     pub slot_count: u32,
-    /// The connections that one minion takes.
+    /// Number of connections that one minion accepts.
     pub connection_count: u32,
-    /// The requests that an entry queues for the service.
+    /// Maximum number of requests that an entry queues for the service.
     pub queue_length_count: u32,
-    /// The time that a request may take when its caller states none.
+    /// Deadline of a request whose caller sets none, in milliseconds.
     pub default_deadline_ms: u64,
 }
 
-/// A service-level objective.
+/// A service-level objective: a target share of good events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectiveRecord {
-    /// The objective.
+    /// Name of the objective, unique among objectives.
     pub name: RecordName,
-    /// The organisation it covers; `None` covers all.
+    /// Organisation that the objective covers; `None` covers all organisations.
     pub organisation: Option<OrganisationName>,
-    /// What is measured.
+    /// Latency that is measured, and the service, class or guarantee that it belongs to.
     pub indicator: Indicator,
-    /// The share of good events that is promised, for example 0.999.
+    /// Target share of good events, between 0 and 1, for example 0.999.
     pub target_ratio: f64,
-    /// The slowest good event.
+    /// Longest duration of a good event, in milliseconds.
     pub threshold_ms: u64,
 }
 
-/// What an objective measures.
+/// The latency that an objective measures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Indicator {
-    /// The time to the answer of requests to a service.
+    /// Time from request to response of a service.
     RequestLatency(ServiceName),
-    /// The time from submission to start of jobs of a class.
+    /// Time from submission to start of the jobs of a class.
     JobStart(PriorityClass),
-    /// The time to reclaim a guaranteed shape.
+    /// Time to reclaim a guaranteed shape from borrowers.
     GuaranteeReclaim(RecordName),
 }
 
-/// The control replicas that shall vote.
+/// The requested set of voting control replicas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembershipRecord {
-    /// The record; there is one, named `control`.
+    /// Name of the record, always `control`, because there is only one membership.
     pub name: RecordName,
-    /// The wanted replicas.
+    /// Requested voters, at least one.
     pub replicas: Vec<MembershipReplica>,
 }
 
-/// One wanted control replica.
+/// A control replica that is to be a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembershipReplica {
-    /// The number of the replica; a replacement gets a new one.
+    /// Identifier of the replica; a replacement gets a new one.
     pub replica_id: u64,
-    /// Where it answers the system's own processes, as `IP:port`.
+    /// Address of its internal endpoint for other processes of the system, as `IP:port`.
     pub address: String,
 }
--- a/crates/yuccatack_records/src/references.rs
+++ b/crates/yuccatack_records/src/references.rs
@@ -1,4 +1,4 @@
-//! References between records: what a record needs, and what needs it.
+//! Referential integrity between records: the targets of a record and its dependants.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 
 type Records = BTreeMap<RecordKey, StoredRecord>;
 
-/// Dependants named in one refusal; more are counted.
-const MAX_LISTED_DEPENDANTS: usize = 5;
+/// Maximum number of dependants named in one refusal; the message states the total.
+const MAX_LISTED_DEPENDANT_COUNT: usize = 5;
 
-/// Checks that everything that `record` refers to is in force.
+/// Checks that every record that `record` refers to is in force.
 pub fn check_targets(records: &Records, record: &Record) -> Result<(), Refusal> {
     let missing: Vec<RecordKey> =
         targets(record).into_iter().filter(|key| !records.contains_key(key)).collect();
@@ -32,7 +32,8 @@
     Err(Refusal::new(kind, &message))
 }
 
-/// Checks that no record in force refers to `key`.
+/// Checks that no record in force refers to `key`, so that a withdrawal leaves no dangling
+/// reference.
 pub fn check_dependants(records: &Records, key: &RecordKey) -> Result<(), Refusal> {
     let can_be_target = match key.kind {
         RecordKind::Organisation | RecordKind::Service | RecordKind::Guarantee => true,
@@ -52,7 +53,7 @@
     if dependants.is_empty() {
         return Ok(());
     }
-    let listed = dependants[..dependants.len().min(MAX_LISTED_DEPENDANTS)].join(", ");
+    let listed = dependants[..dependants.len().min(MAX_LISTED_DEPENDANT_COUNT)].join(", ");
     let message = format!(
         "{} records refer to {key} (first ones: {listed}); withdraw them first",
         dependants.len()
@@ -63,7 +64,7 @@
 fn targets(record: &Record) -> Vec<RecordKey> {
     let mut keys = Vec::new();
     let mut add = |kind, name: &str| {
-        // Every name type accepts the same texts, so the conversion cannot fail.
+        // All name types have the same syntax, so the conversion cannot fail.
         if let Ok(name) = RecordName::new(name) {
             keys.push(RecordKey { kind, name });
         }
--- a/crates/yuccatack_records/src/store.rs
+++ b/crates/yuccatack_records/src/store.rs
@@ -1,4 +1,4 @@
-//! The replicated state of all records.
+//! Replicated state of all records.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,72 +13,73 @@
 use crate::wire::{decode_document, decode_key};
 use crate::withdrawn::WithdrawnNames;
 
-/// The longest change id; it is remembered for days and printed in logs.
+/// Maximum length of a change id; an id is retained for days and printed in logs.
 const MAX_CHANGE_ID_LENGTH_BYTES: usize = 128;
 
-/// A record in force.
+/// A record in force, with its document and versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredRecord {
-    /// The version of the record.
+    /// Number of the record's version; grows with each change and with the withdrawal.
     pub generation: Generation,
-    /// The change that brought this version.
+    /// Revision of the store at which this generation came into force.
     pub revision: Revision,
-    /// The schema version that the operator wrote.
+    /// Schema version that the document is written in.
     pub schema_version: u64,
-    /// The document as written.
+    /// JSON document exactly as the operator wrote it.
     pub document: Arc<str>,
-    /// The content.
+    /// Content of the document, converted to the internal type.
     pub record: Arc<Record>,
 }
 
-/// All records, their generations and the remembered changes.
+/// All records, their generations and the retained changes.
 ///
-/// Every replica that applies the same changes with the same times holds an equal store.
+/// The store is deterministic: replicas that apply the same changes with the same times have equal
+/// stores.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecordStore {
     revision: Revision,
-    /// The latest time of any change; a leader whose clock is behind does not move it back.
+    /// Latest time of any change; a new leader whose clock is behind does not move it back.
     clock: TimestampMs,
     records: BTreeMap<RecordKey, StoredRecord>,
     withdrawn: WithdrawnNames,
     history: ChangeHistory,
 }
 
-/// A change that passed every check of the store and is not yet applied.
+/// A change that passed all checks of the store and is not yet applied.
 #[derive(Clone, Debug)]
 pub struct ValidatedChange {
     change: Change,
     key: RecordKey,
     generation: Generation,
-    /// The revision of the store that the check saw.
-    seen_revision: Revision,
+    /// Revision of the store that the change was checked against.
+    checked_revision: Revision,
     content: Option<(u64, Arc<Record>)>,
 }
 
 impl ValidatedChange {
-    /// The record that the change is about.
+    /// Returns the key of the record that the change affects.
     pub const fn key(&self) -> &RecordKey {
         &self.key
     }
 
-    /// The change itself.
+    /// Returns the change as the operator sent it.
     pub const fn change(&self) -> &Change {
         &self.change
     }
 
-    /// The new content; `None` for a withdrawal.
+    /// Returns the new content of the record, or `None` for a withdrawal.
     pub fn record(&self) -> Option<&Arc<Record>> {
         self.content.as_ref().map(|(_, record)| record)
     }
 
-    /// The generation that the record gets when the change is committed.
+    /// Returns the generation that the record gets when the change is committed.
     pub const fn generation(&self) -> Generation {
         self.generation
     }
 }
 
 impl RecordStore {
-    /// Checks a change and applies it.
+    /// Checks a change, applies it if it is valid, and retains its outcome for resends.
     pub fn apply(&mut self, change: &Change, now: TimestampMs) -> ChangeOutcome {
         match self.validate(change, now) {
             Ok(validated) => self.commit(validated, now),
@@ -91,31 +92,32 @@
 
     /// Checks a change without applying it.
     ///
-    /// The error is the final answer: the remembered first answer to a resend, or a refusal, which
-    /// the caller passes to [`Self::retain_outcome`]. Between this and [`Self::commit`] the caller may
-    /// check what only it knows; both run within the application of one log entry. The time is not
-    /// used for decisions today and is taken so that a check by time stays deterministic.
+    /// The error is the final outcome: the retained first outcome of a resend, or a refusal, which
+    /// the caller passes to [`Self::retain_outcome`]. Between this call and [`Self::commit`] the
+    /// caller may run checks that need state outside the store; both calls belong to the
+    /// application of one log entry. The time does not affect any check at present; it is a
+    /// parameter so that a check that depends on time is deterministic.
     pub fn validate(
         &self,
         change: &Change,
         _now: TimestampMs,
     ) -> Result<ValidatedChange, ChangeOutcome> {
         if let Some(first) = self.history.get(&change.change_id) {
-            return Err(self.repeat(change, first));
+            return Err(self.resend_outcome(change, first));
         }
         self.check(change).map_err(ChangeOutcome::Refused)
     }
 
-    /// Applies a change that was checked against this state of the store.
+    /// Applies a validated change; refuses it if the store has changed since validation.
     pub fn commit(&mut self, validated: ValidatedChange, now: TimestampMs) -> ChangeOutcome {
-        if validated.seen_revision != self.revision {
+        if validated.checked_revision != self.revision {
             let message = "another change was applied between the check and the commit; send the \
                            change again";
             return ChangeOutcome::Refused(Refusal::new(RefusalKind::Superseded, message));
         }
         let now = self.advance_clock(now);
         let ValidatedChange { change, key, generation, content, .. } = validated;
-        debug_assert!(generation > self.current_generation(&key), "{key} would go back");
+        debug_assert!(generation > self.current_generation(&key), "{key}: {generation} is stale");
         self.revision = self.revision.next();
         let revision = self.revision;
         match content {
@@ -131,53 +133,54 @@
             }
         }
         let outcome = ChangeOutcome::Accepted { generation, revision };
-        self.history.remember(&change, Some(key), &outcome, now);
+        self.history.insert(&change, Some(key), &outcome, now);
         outcome
     }
 
-    /// Remembers the refusal of a change, so that a resend gets the same answer.
+    /// Retains the refusal of a change, so that a resend gets the same outcome.
     ///
-    /// An id that is remembered already keeps its first answer.
+    /// An id that is already retained keeps its first outcome.
     pub fn retain_outcome(&mut self, change: &Change, outcome: &ChangeOutcome, now: TimestampMs) {
         let now = self.advance_clock(now);
-        // A malformed id is refused for its form alone and takes no memory.
+        // A malformed id is refused the same way each time, so its outcome needs no memory.
         if check_change_id(&change.change_id).is_ok() {
             let key = decode_key(change.document.as_bytes()).ok();
-            self.history.remember(change, key, outcome, now);
+            self.history.insert(change, key, outcome, now);
         }
     }
 
-    /// The newest change.
+    /// Returns the revision of the newest accepted change.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The record in force under a kind and name.
+    /// Returns the record in force under a kind and name.
     pub fn get(&self, key: &RecordKey) -> Option<&StoredRecord> {
         self.records.get(key)
     }
 
-    /// Every record in force, by kind and name.
+    /// Iterates over all records in force, ordered by kind and name.
     pub fn iter(&self) -> impl Iterator<Item = (&RecordKey, &StoredRecord)> {
         self.records.iter()
     }
 
-    /// The records in force of one kind, by name.
+    /// Iterates over the records in force of one kind, ordered by name.
     pub fn list(&self, kind: RecordKind) -> impl Iterator<Item = (&RecordKey, &StoredRecord)> {
         self.records.iter().filter(move |(key, _)| key.kind == kind)
     }
 
-    /// A change while it is remembered.
+    /// Returns a retained change, or `None` if the id is unknown or was evicted.
     pub fn change(&self, change_id: &ChangeId) -> Option<&RetainedChange> {
         self.history.get(change_id)
     }
 
-    /// How many changes are remembered.
+    /// Returns the number of retained changes.
     pub fn retained_change_count(&self) -> usize {
         self.history.count()
     }
 
-    /// The generation of a record in force or of its withdrawal; 0 when the name was never in use.
+    /// Returns the generation of a record in force or of its withdrawal; 0 if the name was never in
+    /// use.
     pub fn current_generation(&self, key: &RecordKey) -> Generation {
         match self.records.get(key) {
             Some(stored) => stored.generation,
@@ -190,7 +193,7 @@
         self.clock
     }
 
-    fn repeat(&self, change: &Change, first: &RetainedChange) -> ChangeOutcome {
+    fn resend_outcome(&self, change: &Change, first: &RetainedChange) -> ChangeOutcome {
         if first.digest == change.content_digest() {
             return first.outcome.clone();
         }
@@ -218,8 +221,8 @@
             None => references::check_dependants(&self.records, &key)?,
         }
         let generation = self.current_generation(&key).next();
-        let seen_revision = self.revision;
-        Ok(ValidatedChange { change: change.clone(), key, generation, seen_revision, content })
+        let checked_revision = self.revision;
+        Ok(ValidatedChange { change: change.clone(), key, generation, checked_revision, content })
     }
 
     fn check_generation(&self, change: &Change, key: &RecordKey) -> Result<(), Refusal> {
--- a/crates/yuccatack_records/src/wire/checks.rs
+++ b/crates/yuccatack_records/src/wire/checks.rs
@@ -1,4 +1,4 @@
-//! Checks that collect every problem of a document instead of stopping at the first.
+//! Checks that collect all problems of a document instead of stopping at the first one.
 
 use std::fmt::{Debug, Display};
 
@@ -6,42 +6,42 @@
 
 use crate::problem::RecordProblem;
 
-/// The widest gang, from the design size.
+/// Maximum number of tasks in a gang; the design size has no wider ones.
 pub const MAX_TASK_COUNT: u32 = 64;
-/// No known worker has more accelerators than this.
+/// Maximum number of accelerators of a task; no known worker has more.
 pub const MAX_ACCELERATORS_PER_TASK: u32 = 64;
-/// More cores than any known worker has.
+/// Maximum CPU share of a task, in thousandths of a core; no known worker has 4,096 cores.
 pub const MAX_CORES_MILLI: u64 = 4_096_000;
-/// More memory than any known worker has.
+/// Maximum memory of a task, 64 TiB; no known worker has as much.
 pub const MAX_MEMORY_BYTES: u64 = 64 << 40;
-/// The longest declared run time: a year. A longer one is a mistake of units.
+/// Maximum declared run time, one leap year. A longer one is most likely in the wrong unit.
 pub const MAX_RUN_TIME_S: u64 = 366 * 24 * 3600;
-/// The largest count of anything else; sums of a few thousand of them stay within 64 bits.
+/// Maximum value of other counts; the sum of a few thousand of them does not overflow 64 bits.
 pub const MAX_COUNT: u32 = 1_000_000_000;
 
-/// What a task gets for each accelerator when the document states no cores.
+/// CPU share per accelerator of a task whose document does not set cores, in thousandths of a core.
 pub const DEFAULT_CORES_MILLI_PER_ACCELERATOR: u64 = 1_000;
-/// What a task gets for each accelerator when the document states no memory.
+/// Memory per accelerator of a task whose document does not set memory.
 pub const DEFAULT_MEMORY_BYTES_PER_ACCELERATOR: u64 = 1 << 30;
 
-/// The problems found so far in one document.
+/// Collects the problems of one document.
 #[derive(Debug, Default)]
 pub struct Checker {
     problems: Vec<RecordProblem>,
 }
 
 impl Checker {
-    /// Adds a problem.
+    /// Adds a problem to the report.
     pub fn report(&mut self, problem: RecordProblem) {
         self.problems.push(problem);
     }
 
-    /// Adds a problem in free words.
-    pub fn inconsistent(&mut self, field: &str, detail: impl Into<String>) {
+    /// Adds a problem that only a free text describes.
+    pub fn report_inconsistent(&mut self, field: &str, detail: impl Into<String>) {
         self.report(RecordProblem::Inconsistent { field: field.to_owned(), detail: detail.into() });
     }
 
-    /// Unwraps a required value.
+    /// Returns a required value, and reports the key as missing if it is absent.
     pub fn required<Value>(&mut self, field: &str, value: Option<Value>) -> Option<Value> {
         if value.is_none() {
             self.report(RecordProblem::Missing { field: field.to_owned() });
@@ -49,47 +49,48 @@
         value
     }
 
-    /// Checks that a number lies within a range.
+    /// Returns a number that lies within `min..=max`, and reports one that does not.
     pub fn range<Number>(
         &mut self,
         field: &str,
         found: Option<Number>,
-        least: Number,
-        most: Number,
+        min: Number,
+        max: Number,
     ) -> Option<Number>
     where
         Number: Copy + Debug + PartialOrd,
     {
         let found = found?;
-        if found >= least && found <= most {
+        if found >= min && found <= max {
             return Some(found);
         }
         self.report(RecordProblem::OutOfRange {
             field: field.to_owned(),
-            // `Debug` writes large floating point numbers with an exponent.
+            // `Debug` writes large floating-point numbers with an exponent, `Display` with all
+            // digits.
             found: format!("{found:?}"),
-            least: format!("{least:?}"),
-            most: format!("{most:?}"),
+            min: format!("{min:?}"),
+            max: format!("{max:?}"),
         });
         None
     }
 
-    /// Checks a required number.
+    /// Returns a required number within `min..=max`, and reports an absent or invalid one.
     pub fn required_range<Number>(
         &mut self,
         field: &str,
         found: Option<Number>,
-        least: Number,
-        most: Number,
+        min: Number,
+        max: Number,
     ) -> Option<Number>
     where
         Number: Copy + Debug + PartialOrd,
     {
         let found = self.required(field, found);
-        self.range(field, found, least, most)
+        self.range(field, found, min, max)
     }
 
-    /// Checks a name of any type.
+    /// Parses an optional name of any type, and reports one with invalid syntax.
     pub fn name<Name>(&mut self, field: &str, text: Option<String>) -> Option<Name>
     where
         Name: TryFrom<String>,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Checks a required name.
+    /// Parses a required name of any type, and reports an absent or invalid one.
     pub fn required_name<Name>(&mut self, field: &str, text: Option<String>) -> Option<Name>
     where
         Name: TryFrom<String>,
@@ -115,36 +116,36 @@
         self.name(field, text)
     }
 
-    /// Looks a word up in a closed set.
-    pub fn word<Value: Copy>(
+    /// Returns the value of an identifier from a closed set, and reports an unknown one.
+    pub fn one_of<Value: Copy>(
         &mut self,
         field: &str,
-        word: &str,
+        found: &str,
         known: &[(&str, Value)],
     ) -> Option<Value> {
-        if let Some((_, value)) = known.iter().find(|(text, _)| *text == word) {
+        if let Some((_, value)) = known.iter().find(|(text, _)| *text == found) {
             return Some(*value);
         }
         let allowed: Vec<&str> = known.iter().map(|(text, _)| *text).collect();
-        self.report(RecordProblem::UnknownWord {
+        self.report(RecordProblem::UnknownValue {
             field: field.to_owned(),
-            found: word.to_owned(),
+            found: found.to_owned(),
             allowed: allowed.join(", "),
         });
         None
     }
 
-    /// The class that a word stands for.
-    pub fn class(&mut self, field: &str, word: &str) -> Option<PriorityClass> {
+    /// Returns the priority class with this identifier, and reports an unknown one.
+    pub fn priority_class(&mut self, field: &str, found: &str) -> Option<PriorityClass> {
         let known = [
             ("urgent", PriorityClass::Urgent),
             ("standard", PriorityClass::Standard),
             ("batch", PriorityClass::Batch),
         ];
-        self.word(field, word, &known)
+        self.one_of(field, found, &known)
     }
 
-    /// The value if no problem was found, otherwise all problems.
+    /// Returns the value if no problem was reported, otherwise all problems.
     pub fn finish<Value>(self, value: Option<Value>) -> Result<Value, Vec<RecordProblem>> {
         match value {
             Some(value) if self.problems.is_empty() => Ok(value),
--- a/crates/yuccatack_records/src/wire/document.rs
+++ b/crates/yuccatack_records/src/wire/document.rs
@@ -1,4 +1,4 @@
-//! Reading a document of any kind and schema version, with all of its problems at once.
+//! Decoding of a document of any kind and schema version; reports all of its problems at once.
 
 use serde::de::{self, DeserializeOwned, Deserializer, MapAccess, Visitor};
 use serde::{Deserialize, forward_to_deserialize_any};
@@ -9,33 +9,34 @@
 use crate::problem::RecordProblem;
 use crate::record::{Record, RecordKey, RecordKind};
 
-/// The newest schema version that this program reads.
+/// Newest schema version that this program reads.
 pub const NEWEST_SCHEMA_VERSION: u64 = 2;
-/// The longest accepted document; 64 KiB leave room for a long command line.
+/// Maximum length of a document; 64 KiB are enough for a long command line.
 pub const MAX_DOCUMENT_LENGTH_BYTES: usize = 64 * 1024;
-/// The unknown keys that get a hint; 64 KiB hold thousands of keys, and comparing each of them with
-/// all known ones holds up a replica for tens of milliseconds.
-const MAX_HINTS: usize = 32;
-/// The most similar key is offered from this similarity on (1 is equal).
-const LEAST_SIMILARITY: f64 = 0.8;
+/// Number of problems after which unknown keys get no hint. A document of 64 KiB can contain
+/// thousands of keys, and comparing each of them with all known ones would block a replica for tens
+/// of milliseconds.
+const MAX_HINT_COUNT: usize = 32;
+/// Minimum Jaro-Winkler similarity at which the most similar key is suggested; 1 means equal.
+const MIN_SIMILARITY_RATIO: f64 = 0.8;
 
-/// A document that was read without problems.
+/// A document that was decoded without problems.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedDocument {
-    /// The version that it is written in.
+    /// Schema version that the document is written in.
     pub schema_version: u64,
-    /// The kind and name.
+    /// Kind and name that the document states.
     pub key: RecordKey,
-    /// The content.
+    /// Content, converted to the internal type.
     pub record: Record,
 }
 
-/// Reads a document of any kind and supported schema version.
+/// Decodes a document of any kind and supported schema version.
 pub fn decode(document: &[u8]) -> Result<Record, Vec<RecordProblem>> {
     decode_document(document).map(|decoded| decoded.record)
 }
 
-/// Reads a document and also tells its key and version.
+/// Decodes a document and returns its key and schema version as well.
 pub fn decode_document(document: &[u8]) -> Result<DecodedDocument, Vec<RecordProblem>> {
     let TopLevel { mut fields, mut problems } = parse(document)?;
     let version = take_version(&mut fields, &mut problems);
@@ -56,7 +57,7 @@
     }
 }
 
-/// Reads only kind and name, as a withdrawal does.
+/// Decodes only the kind and name of a document, which is all that a withdrawal needs.
 pub fn decode_key(document: &[u8]) -> Result<RecordKey, Vec<RecordProblem>> {
     let TopLevel { mut fields, mut problems } = parse(document)?;
     let kind = take_kind(&mut fields, &mut problems);
@@ -139,9 +140,11 @@
     }
 }
 
-/// Deserialises a wire type; each key that fails is reported, removed, and the rest tried again.
+/// Deserialises a wire type and converts it to the internal type.
 ///
-/// `OtherWire` is the other schema version of the kind, whose keys get a hint of their own.
+/// A key that fails is reported and removed, and deserialisation is retried with the rest, so that
+/// one pass reports all problems. `OtherWire` is the other schema version of the kind; its keys are
+/// reported with a hint at the version.
 fn read<Wire, OtherWire, Internal>(
     mut fields: Map<String, Value>,
     problems: &mut Vec<RecordProblem>,
@@ -154,7 +157,7 @@
     let known = known_keys::<Wire>();
     let other = known_keys::<OtherWire>();
     for key in fields.keys().filter(|key| !known.contains(&key.as_str())) {
-        let hint = if problems.len() >= MAX_HINTS {
+        let hint = if problems.len() >= MAX_HINT_COUNT {
             "remove it".to_owned()
         } else if other.contains(&key.as_str()) {
             format!(
@@ -162,12 +165,12 @@
                 known.join(", ")
             )
         } else {
-            nearest_key(key, known)
+            suggest_key(key, known)
         };
         problems.push(RecordProblem::UnknownKey { field: key.clone(), hint });
     }
     fields.retain(|key, _| known.contains(&key.as_str()));
-    // Each round removes one key, so the loop ends.
+    // Each iteration removes one key, so the loop terminates.
     let wire: Wire = loop {
         let value = Value::Object(fields.clone());
         let error = match serde_path_to_error::deserialize(value) {
@@ -186,35 +189,37 @@
     match Internal::try_from(wire) {
         Ok(record) => Some(record),
         Err(found) => {
-            let removed = |problem: &RecordProblem| match problem {
+            let already_reported = |problem: &RecordProblem| match problem {
                 RecordProblem::Missing { field } => problems.iter().any(|earlier| {
                     let earlier = earlier.field().unwrap_or_default();
                     earlier.split(['.', '[']).next() == Some(field)
                 }),
                 _ => false,
             };
-            let found: Vec<_> = found.into_iter().filter(|problem| !removed(problem)).collect();
+            let found: Vec<_> =
+                found.into_iter().filter(|problem| !already_reported(problem)).collect();
             problems.extend(found);
             None
         }
     }
 }
 
-/// Turns the parser's words for an unknown key of a nested object into a problem with a hint.
+/// Converts serde's message about an unknown key of a nested object to a problem with a hint.
 fn nested_unknown_key(path: &str, detail: &str) -> Option<RecordProblem> {
     let rest = detail.strip_prefix("unknown field `")?;
-    // Every second part lies between backticks; the first one is the unknown key.
+    // Every second part is quoted in backticks; the first one is the unknown key.
     let mut quoted = rest.split('`').step_by(2);
     let key = quoted.next()?;
     let known: Vec<&str> = quoted.filter(|part| !part.is_empty()).collect();
-    Some(RecordProblem::UnknownKey { field: path.to_owned(), hint: nearest_key(key, &known) })
+    Some(RecordProblem::UnknownKey { field: path.to_owned(), hint: suggest_key(key, &known) })
 }
 
-fn nearest_key(key: &str, known: &[&str]) -> String {
+/// Returns a hint with the most similar known key, or with all known keys if none is similar.
+fn suggest_key(key: &str, known: &[&str]) -> String {
     let similarity = |candidate: &str| strsim::jaro_winkler(key, candidate);
     let nearest = known.iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
     match nearest {
-        Some(nearest) if similarity(nearest) >= LEAST_SIMILARITY => {
+        Some(nearest) if similarity(nearest) >= MIN_SIMILARITY_RATIO => {
             format!("did you mean `{nearest}`?")
         }
         _ => format!("known keys are {}", known.join(", ")),
@@ -232,8 +237,8 @@
         Some(0) => problems.push(RecordProblem::OutOfRange {
             field,
             found: "0".to_owned(),
-            least: "1".to_owned(),
-            most: NEWEST_SCHEMA_VERSION.to_string(),
+            min: "1".to_owned(),
+            max: NEWEST_SCHEMA_VERSION.to_string(),
         }),
         Some(found) => {
             let newest = NEWEST_SCHEMA_VERSION;
@@ -256,21 +261,21 @@
         problems.push(RecordProblem::Missing { field });
         return None;
     };
-    let Some(word) = value.as_str() else {
+    let Some(found) = value.as_str() else {
         let detail = format!("{value} is not a text");
         problems.push(RecordProblem::WrongType { field, detail });
         return None;
     };
-    let kind = RecordKind::from_name(word);
+    let kind = RecordKind::from_name(found);
     if kind.is_none() {
         let allowed = RecordKind::ALL.map(RecordKind::as_str).join(", ");
-        let found = word.to_owned();
-        problems.push(RecordProblem::UnknownWord { field, found, allowed });
+        let found = found.to_owned();
+        problems.push(RecordProblem::UnknownValue { field, found, allowed });
     }
     kind
 }
 
-/// The top level of a document, with keys that occur twice.
+/// The top-level keys of a document; keys that occur more than once are reported as problems.
 struct TopLevel {
     fields: Map<String, Value>,
     problems: Vec<RecordProblem>,
@@ -280,7 +285,7 @@
     if document.len() > MAX_DOCUMENT_LENGTH_BYTES {
         return Err(vec![RecordProblem::DocumentTooLong {
             length_bytes: document.len(),
-            most_bytes: MAX_DOCUMENT_LENGTH_BYTES,
+            max_bytes: MAX_DOCUMENT_LENGTH_BYTES,
         }]);
     }
     serde_json::from_slice(document)
@@ -305,14 +310,14 @@
             where
                 Access: MapAccess<'de>,
             {
-                let mut top = TopLevel { fields: Map::new(), problems: Vec::new() };
+                let mut top_level = TopLevel { fields: Map::new(), problems: Vec::new() };
                 while let Some((key, value)) = access.next_entry::<String, Value>()? {
-                    if top.fields.contains_key(&key) {
-                        top.problems.push(RecordProblem::DuplicateKey { field: key.clone() });
+                    if top_level.fields.contains_key(&key) {
+                        top_level.problems.push(RecordProblem::DuplicateKey { field: key.clone() });
                     }
-                    top.fields.insert(key, value);
+                    top_level.fields.insert(key, value);
                 }
-                Ok(top)
+                Ok(top_level)
             }
         }
 
@@ -320,14 +325,15 @@
     }
 }
 
-/// Asks a wire type for its keys, so that they are written down only once.
+/// Returns the keys that a wire type deserialises, so that they are declared only once.
 fn known_keys<Wire: DeserializeOwned>() -> &'static [&'static str] {
     let mut keys: &'static [&'static str] = &[];
-    // The result is always an error; only the recorded keys matter.
+    // `KeyRecorder` always fails after recording the keys.
     let _ = Wire::deserialize(KeyRecorder { keys: &mut keys });
     keys
 }
 
+/// A deserializer that records the field names of a struct and yields no value.
 struct KeyRecorder<'a> {
     keys: &'a mut &'static [&'static str],
 }
@@ -336,7 +342,7 @@
     type Error = de::value::Error;
 
     fn deserialize_any<V: Visitor<'de>>(self, _visitor: V) -> Result<V::Value, Self::Error> {
-        Err(de::Error::custom("only the keys are of interest"))
+        Err(de::Error::custom("the key recorder yields no value"))
     }
 
     fn deserialize_struct<V: Visitor<'de>>(
--- a/crates/yuccatack_records/src/wire/mod.rs
+++ b/crates/yuccatack_records/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Documents of each schema version and their conversion into the internal types.
+//! Documents of each schema version and their conversion to the internal types.
 
 mod checks;
 mod document;
--- a/crates/yuccatack_records/src/wire/protocol.rs
+++ b/crates/yuccatack_records/src/wire/protocol.rs
@@ -1,4 +1,4 @@
-//! Conversion between the operators' protocol and the internal types.
+//! Conversion between the messages of the operators' protocol and the internal types.
 
 use std::sync::Arc;
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// An answer that this version does not understand.
+/// A response that this program version cannot interpret.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("the answer has {detail}; run the same version on both sides"))]
 pub struct UnreadableOutcomeError {
--- a/crates/yuccatack_records/src/wire/v1.rs
+++ b/crates/yuccatack_records/src/wire/v1.rs
@@ -1,4 +1,4 @@
-//! Schema version 1: whole GPUs, minutes and percentages.
+//! Schema version 1: number of GPUs instead of tasks, minutes and percentages.
 
 use serde::Deserialize;
 use yuccatack_core::prelude::*;
@@ -14,12 +14,13 @@
     PolicyRecord, ServiceRecord,
 };
 
-/// Version 1 has no tasks: up to this many GPUs are one task, more are tasks of this size.
+/// Number of GPUs per task. Version 1 has no tasks: up to this many GPUs become one task, more
+/// become several tasks of this size.
 const GPUS_PER_TASK: u32 = 8;
-/// The largest number of GPUs that [`MAX_TASK_COUNT`] tasks hold.
+/// Maximum number of GPUs, which is that of [`MAX_TASK_COUNT`] tasks.
 const MAX_GPU_COUNT: u32 = GPUS_PER_TASK * MAX_TASK_COUNT;
 
-/// An organisation as written.
+/// Document of an organisation in schema version 1.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OrganisationV1 {
@@ -47,7 +48,7 @@
                 name: name?,
                 accelerator_quota_count: quota?,
                 fair_share_weight: weight?,
-                // Rounded up, so that a small rate does not become none.
+                // Rounded up, so that a rate below one request per second does not become 0.
                 request_rate_per_s: rate?.div_ceil(60),
                 request_concurrency_count: concurrency?,
             })
@@ -56,10 +57,11 @@
     }
 }
 
-fn shape_of_gpus(checker: &mut Checker, gpus: Option<u32>) -> Option<Shape> {
+/// Converts a number of GPUs to a shape, and reports a number that has none.
+fn shape_from_gpus(checker: &mut Checker, gpus: Option<u32>) -> Option<Shape> {
     let gpus = checker.required_range("gpus", gpus, 1, MAX_GPU_COUNT)?;
     if gpus > GPUS_PER_TASK && !gpus.is_multiple_of(GPUS_PER_TASK) {
-        checker.inconsistent(
+        checker.report_inconsistent(
             "gpus",
             format!(
                 "{gpus} is more than {GPUS_PER_TASK} and not a multiple of it; use a multiple, or \
@@ -81,7 +83,7 @@
     Some(Shape { task_count, task, adjacency })
 }
 
-/// A guarantee as written.
+/// Document of a guarantee in schema version 1.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GuaranteeV1 {
@@ -99,7 +101,7 @@
         let mut checker = Checker::default();
         let name = checker.required_name("name", wire.name);
         let organisation = checker.required_name("organisation", wire.organisation);
-        let shape = shape_of_gpus(&mut checker, wire.gpus);
+        let shape = shape_from_gpus(&mut checker, wire.gpus);
         let copies = checker.range("copies", wire.copies.or(Some(1)), 1, 1_000_000);
         let data_centre = checker.name("data_centre", wire.data_centre);
         let record = (|| {
@@ -115,7 +117,7 @@
     }
 }
 
-/// A job as written.
+/// Document of a job in schema version 1.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct JobV1 {
@@ -136,16 +138,17 @@
         let mut checker = Checker::default();
         let name = checker.required_name("name", wire.name);
         let organisation = checker.required_name("organisation", wire.organisation);
-        let shape = shape_of_gpus(&mut checker, wire.gpus);
+        let shape = shape_from_gpus(&mut checker, wire.gpus);
         let class = wire.class.unwrap_or_else(|| "standard".to_owned());
-        let class = checker.class("class", &class);
+        let class = checker.priority_class("class", &class);
         let minutes = checker.required_range(
             "run_time_minutes",
             wire.run_time_minutes,
             1,
             MAX_RUN_TIME_S / 60,
         );
-        // Version 1 has one line, split at white space; version 2 has a list without quoting rules.
+        // The command of version 1 is one string without quoting rules, split at white space;
+        // version 2 has a list of arguments.
         let command = wire.command.unwrap_or_default();
         let command = command.split_whitespace().map(str::to_owned).collect();
         let record = (|| {
@@ -164,7 +167,7 @@
     }
 }
 
-/// A policy as written.
+/// Document of a policy in schema version 1.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicyV1 {
@@ -194,7 +197,7 @@
     }
 }
 
-/// A service as written.
+/// Document of a service in schema version 1.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceV1 {
@@ -219,7 +222,7 @@
         if let (Some(slots), Some(connections)) = (slots, connections)
             && connections < slots
         {
-            checker.inconsistent(
+            checker.report_inconsistent(
                 "connections",
                 format!(
                     "{connections} connections cannot serve {slots} slots; use at least as many"
@@ -239,7 +242,7 @@
     }
 }
 
-/// An objective as written.
+/// Document of an objective in schema version 1.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ObjectiveV1 {
@@ -264,16 +267,20 @@
             measure.zip(of).and_then(|(measure, of)| check_indicator(&mut checker, &measure, of));
         let target =
             checker.required_range("target_percent", wire.target_percent, 0.000_1, 99.999_9);
-        let longest_s = f64::from(u32::try_from(MAX_RUN_TIME_S).unwrap_or(u32::MAX));
-        let threshold =
-            checker.required_range("threshold_seconds", wire.threshold_seconds, 0.001, longest_s);
+        let max_threshold_s = f64::from(u32::try_from(MAX_RUN_TIME_S).unwrap_or(u32::MAX));
+        let threshold = checker.required_range(
+            "threshold_seconds",
+            wire.threshold_seconds,
+            0.001,
+            max_threshold_s,
+        );
         let record = (|| {
             Some(Self {
                 name: name?,
                 organisation,
                 indicator: indicator?,
                 target_ratio: target? / 100.0,
-                // Within range by the check above, so the conversion loses at most a fraction.
+                // The range check above excludes overflow; the conversion only drops a fraction.
                 threshold_ms: (threshold? * 1000.0).round() as u64,
             })
         })();
@@ -283,14 +290,14 @@
 
 fn check_indicator(checker: &mut Checker, measure: &str, of: String) -> Option<Indicator> {
     let known = [("request_latency", 0), ("job_start", 1), ("guarantee_reclaim", 2)];
-    match checker.word("measure", measure, &known)? {
+    match checker.one_of("measure", measure, &known)? {
         0 => checker.name("of", Some(of)).map(Indicator::RequestLatency),
-        1 => checker.class("of", &of).map(Indicator::JobStart),
+        1 => checker.priority_class("of", &of).map(Indicator::JobStart),
         _ => checker.name("of", Some(of)).map(Indicator::GuaranteeReclaim),
     }
 }
 
-/// The membership as written: one text `id@IP:port` for each replica.
+/// Document of the membership in schema version 1: one string `id@IP:port` per replica.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipV1 {
@@ -308,7 +315,7 @@
             let parts = text.split_once('@');
             let parts = parts.and_then(|(id, address)| Some((id.parse().ok()?, address)));
             let Some((replica_id, address)) = parts else {
-                checker.inconsistent(
+                checker.report_inconsistent(
                     &format!("replicas[{index}]"),
                     format!("`{text}` is not `id@IP:port`; write for example 1@10.0.0.1:7100"),
                 );
--- a/crates/yuccatack_records/src/wire/v2.rs
+++ b/crates/yuccatack_records/src/wire/v2.rs
@@ -1,4 +1,4 @@
-//! Schema version 2: tasks and accelerators, exact units, lists of data centres.
+//! Schema version 2: tasks and accelerators, units in the key names, lists of data centres.
 
 use serde::Deserialize;
 use yuccatack_core::prelude::*;
@@ -14,7 +14,7 @@
     ServiceRecord,
 };
 
-/// An organisation as written.
+/// Document of an organisation in schema version 2.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OrganisationV2 {
@@ -56,7 +56,7 @@
     }
 }
 
-/// The keys of a shape, which jobs and guarantees share.
+/// The keys of a shape, which jobs and guarantees have in common.
 struct ShapeFields {
     tasks: Option<u32>,
     accelerators_per_task: Option<u32>,
@@ -88,8 +88,8 @@
             ("rack", Adjacency::Rack),
             ("data_centre", Adjacency::DataCentre),
         ];
-        let word = self.adjacency.unwrap_or_else(|| "data_centre".to_owned());
-        let adjacency = checker.word("adjacency", &word, &known);
+        let adjacency = self.adjacency.unwrap_or_else(|| "data_centre".to_owned());
+        let adjacency = checker.one_of("adjacency", &adjacency, &known);
         Some(Shape {
             task_count: task_count?,
             task: Resources {
@@ -102,7 +102,7 @@
     }
 }
 
-/// A guarantee as written.
+/// Document of a guarantee in schema version 2.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GuaranteeV2 {
@@ -147,6 +147,7 @@
     }
 }
 
+/// Returns the valid data centres, and reports invalid and repeated ones.
 fn check_data_centres(checker: &mut Checker, texts: Vec<String>) -> Vec<DataCentreName> {
     let mut names = Vec::new();
     for (index, text) in texts.into_iter().enumerate() {
@@ -163,7 +164,7 @@
     names
 }
 
-/// A job as written.
+/// Document of a job in schema version 2.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct JobV2 {
@@ -197,7 +198,7 @@
         };
         let shape = fields.check(&mut checker);
         let class = wire.class.unwrap_or_else(|| "standard".to_owned());
-        let class = checker.class("class", &class);
+        let class = checker.priority_class("class", &class);
         let declared_run_time_s = checker.required_range(
             "declared_run_time_s",
             wire.declared_run_time_s,
@@ -220,7 +221,7 @@
     }
 }
 
-/// A policy as written.
+/// Document of a policy in schema version 2.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicyV2 {
@@ -241,7 +242,7 @@
         let fragmentation =
             checker.required_range("fragmentation_weight", wire.fragmentation_weight, 0.0, 1e6);
         if completion == Some(0.0) && fragmentation == Some(0.0) {
-            checker.inconsistent("completion_weight", "both weights are 0; make one larger");
+            checker.report_inconsistent("completion_weight", "both weights are 0; make one larger");
         }
         let reserve = wire.reserve_worker_count.or(Some(0));
         let reserve = checker.range("reserve_worker_count", reserve, 0, 100_000);
@@ -257,7 +258,7 @@
     }
 }
 
-/// A service as written.
+/// Document of a service in schema version 2.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceV2 {
@@ -284,7 +285,7 @@
         if let (Some(slots), Some(connections)) = (slots, connections)
             && connections < slots
         {
-            checker.inconsistent(
+            checker.report_inconsistent(
                 "connection_count",
                 format!(
                     "{connections} connections cannot serve {slots} slots; use at least as many"
@@ -304,7 +305,7 @@
     }
 }
 
-/// What an objective measures, as written: exactly one key.
+/// Indicator of an objective in schema version 2; exactly one key is set.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct IndicatorV2 {
@@ -320,13 +321,13 @@
                 .name("indicator.request_latency", Some(service))
                 .map(Indicator::RequestLatency),
             (None, Some(class), None) => {
-                checker.class("indicator.job_start", &class).map(Indicator::JobStart)
+                checker.priority_class("indicator.job_start", &class).map(Indicator::JobStart)
             }
             (None, None, Some(guarantee)) => checker
                 .name("indicator.guarantee_reclaim", Some(guarantee))
                 .map(Indicator::GuaranteeReclaim),
             _ => {
-                checker.inconsistent(
+                checker.report_inconsistent(
                     "indicator",
                     "give exactly one of `request_latency`, `job_start`, `guarantee_reclaim`",
                 );
@@ -336,7 +337,7 @@
     }
 }
 
-/// An objective as written.
+/// Document of an objective in schema version 2.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ObjectiveV2 {
--- a/crates/yuccatack_records/src/wire/v2_membership.rs
+++ b/crates/yuccatack_records/src/wire/v2_membership.rs
@@ -10,12 +10,12 @@
 use crate::problem::RecordProblem;
 use crate::record::{MembershipRecord, MembershipReplica};
 
-/// The most control replicas, from the design size.
+/// Maximum number of control replicas; the design size has no larger control group.
 const MAX_REPLICA_COUNT: usize = 13;
-/// The name of the one membership record.
+/// Name of the only membership record.
 const MEMBERSHIP_NAME: &str = "control";
 
-/// One replica as written.
+/// Entry of a replica in a membership document.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaV2 {
@@ -23,7 +23,7 @@
     pub(super) address: String,
 }
 
-/// The membership as written.
+/// Document of the membership in schema version 2.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipV2 {
@@ -38,7 +38,8 @@
         let mut checker = Checker::default();
         let name: Option<RecordName> = checker.required_name("name", wire.name);
         if name.as_ref().is_some_and(|name| name.as_str() != MEMBERSHIP_NAME) {
-            checker.inconsistent("name", "there is one membership record; name it `control`");
+            checker
+                .report_inconsistent("name", "there is one membership record; name it `control`");
         }
         let replicas = checker.required("replicas", wire.replicas);
         let count = replicas.as_ref().map(Vec::len);
@@ -49,6 +50,7 @@
     }
 }
 
+/// Converts the replicas, and reports invalid and repeated identifiers and addresses.
 fn check_replicas(checker: &mut Checker, wire: Vec<ReplicaV2>) -> Vec<MembershipReplica> {
     let mut ids = BTreeSet::new();
     let mut addresses = BTreeSet::new();
@@ -57,7 +59,7 @@
         let id_field = format!("replicas[{index}].replica_id");
         checker.range(&id_field, Some(replica.replica_id), 1, u64::MAX);
         if replica.address.parse::<SocketAddr>().is_err() {
-            checker.inconsistent(
+            checker.report_inconsistent(
                 &format!("replicas[{index}].address"),
                 format!("`{}` is not `IP:port`; write for example 10.0.0.1:7100", replica.address),
             );
--- a/crates/yuccatack_records/src/withdrawn.rs
+++ b/crates/yuccatack_records/src/withdrawn.rs
@@ -1,4 +1,4 @@
-//! The generations of withdrawn names.
+//! Generations of withdrawn names.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +7,28 @@
 
 use crate::record::RecordKey;
 
-/// The generations of names that were in use and are not in force.
+/// The generations of names that were in use and are no longer in force.
 ///
-/// An entry is never forgotten: it keeps generations from going back and refuses the resend of a
-/// submission whose change id has been forgotten. Names are kept as 64-bit digests, because each
+/// An entry is never evicted: it keeps generations from going back, and a resent submission whose
+/// change id was evicted is refused because of it. Names are stored as 64-bit digests, because each
 /// of the 8,600 jobs a day leaves an entry. Two names with equal digests share the larger
-/// generation; a submission under the other name is then refused once with the generation to state.
+/// generation; a submission under the other name is then refused once, with the generation that it
+/// has to replace.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct WithdrawnNames {
     generations: BTreeMap<u64, Generation>,
 }
 
 impl WithdrawnNames {
-    /// The generation of the withdrawal; 0 when the name was never withdrawn.
+    /// Returns the generation of the withdrawal; 0 if the name was never withdrawn.
     pub fn generation(&self, key: &RecordKey) -> Generation {
         self.generations.get(&digest(key)).copied().unwrap_or_default()
     }
 
-    /// Notes a withdrawal.
+    /// Records a withdrawal; a larger generation that is already stored stays.
     pub fn insert(&mut self, key: &RecordKey, generation: Generation) {
-        let kept = self.generations.entry(digest(key)).or_default();
-        *kept = generation.max(*kept);
+        let stored = self.generations.entry(digest(key)).or_default();
+        *stored = generation.max(*stored);
     }
 }
 
--- a/crates/yuccatack_records/tests/bad_records.rs
+++ b/crates/yuccatack_records/tests/bad_records.rs
@@ -1,6 +1,6 @@
-//! Bad documents of every kind and the messages that operators get for them.
+//! Refusal messages for invalid documents of each kind.
 //!
-//! The expected messages are in `snapshots/`; each one names the remedy.
+//! The expected messages are in `snapshots/`; each of them states a remedy.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -82,30 +82,32 @@
     text
 }
 
-/// Guards against documents that are accepted without a kind or version, or refused without help.
+/// Guards against documents that are accepted without a kind or version, or refused without a
+/// remedy.
 #[test]
 fn unreadable_documents() {
     let mut store = store_with_organisation("tri");
     insta::assert_snapshot!(messages(&mut store, &NOT_READABLE));
 }
 
-/// Guards against jobs whose sizes are zero, overflow or lie beyond the widest gang.
+/// Guards against accepting jobs whose sizes are zero, overflow or exceed the maximum gang size.
 #[test]
 fn bad_jobs() {
     let mut store = store_with_organisation("tri");
     insta::assert_snapshot!(messages(&mut store, &JOBS));
 }
 
-/// Guards against bad records of the other kinds.
+/// Guards against accepting invalid records of the other kinds.
 #[test]
 fn bad_records_of_other_kinds() {
     let mut store = store_with_organisation("tri");
     insta::assert_snapshot!(messages(&mut store, &OTHERS));
 }
 
-/// Guards against memory taken by endless documents, names and change ids.
+/// Guards against oversized documents, names and change ids that exhaust memory: a refusal message
+/// must be bounded, and a malformed change id must not be retained.
 #[test]
-fn endless_texts_are_refused() {
+fn oversized_texts_are_refused() {
     let mut store = store_with_organisation("tri");
     let long_document = " ".repeat(MAX_DOCUMENT_LENGTH_BYTES + 1);
     let long_name = organisation(&"x".repeat(129), 1);
@@ -116,24 +118,24 @@
         let ChangeOutcome::Refused(refusal) = outcome else { panic!("{id} was accepted") };
         assert!(refusal.message.len() <= 4096, "{}", refusal.message.len());
     }
-    let remembered = store.retained_change_count();
+    let retained_count = store.retained_change_count();
     for id in ["", "with space", "\u{e9}", &"x".repeat(129)] {
         let outcome = store.apply(&change(id, Operation::Submit, 0, "{}"), NOW);
         assert!(matches!(outcome, ChangeOutcome::Refused(_)));
     }
-    assert_eq!(store.retained_change_count(), remembered);
+    assert_eq!(store.retained_change_count(), retained_count);
 }
 
-/// Guards against deeply nested input that exhausts the stack of every replica.
+/// Guards against a deeply nested document that overflows the stack of each replica that parses it.
 #[test]
 fn deep_nesting_is_refused() {
     let mut store = store_with_organisation("tri");
-    let deep = format!(r#"{{"schema_version":2,"kind":"job","name":{}"#, "[".repeat(60_000));
-    let outcome = store.apply(&change("deep", Operation::Submit, 0, &deep), NOW);
+    let nested = format!(r#"{{"schema_version":2,"kind":"job","name":{}"#, "[".repeat(60_000));
+    let outcome = store.apply(&change("deep", Operation::Submit, 0, &nested), NOW);
     assert!(matches!(outcome, ChangeOutcome::Refused(_)));
 }
 
-/// Guards against a check that refuses what the limits allow.
+/// Guards against a check that refuses a value equal to its limit.
 #[test]
 fn largest_values_are_accepted() {
     let mut store = store_with_organisation("tri");
--- a/crates/yuccatack_records/tests/change_ids.rs
+++ b/crates/yuccatack_records/tests/change_ids.rs
@@ -1,4 +1,4 @@
-//! Change ids and generations: a change is applied once, and its first answer is repeated.
+//! Change ids and generations: a change is applied once, and a resend gets the first outcome.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -10,31 +10,34 @@
     Operation, RecordKind, RecordStore, Refusal, RefusalKind,
 };
 
-/// Guards against a second application, or a conflict, after a lost answer.
+/// Guards against a change that is applied twice, or refused as a conflict, when the operator
+/// resends it after a lost response.
 #[test]
-fn resend_gets_first_answer() {
+fn resend_gets_first_outcome() {
     let mut store = store_with_organisation("tri");
-    let bigger = change("a", Operation::Change, 1, &organisation("tri", 16));
-    let first = store.apply(&bigger, NOW);
+    let first_change = change("a", Operation::Change, 1, &organisation("tri", 16));
+    let first = store.apply(&first_change, NOW);
     assert_eq!(accepted(&first), (2, 2));
     let other = change("b", Operation::Change, 2, &organisation("tri", 24));
     assert_eq!(accepted(&store.apply(&other, NOW)), (3, 3));
-    assert_eq!(store.apply(&bigger, NOW), first);
+    assert_eq!(store.apply(&first_change, NOW), first);
     assert_eq!(store.revision(), Revision::new(3));
 }
 
-/// Guards against a refusal that turns into an acceptance when it is asked for again.
+/// Guards against a refused change that is accepted on a resend, because the record that it lacked
+/// was submitted in between.
 #[test]
 fn refusal_is_repeated() {
     let mut store = RecordStore::default();
-    let early = change("a", Operation::Change, 0, &organisation("tri", 16));
-    let first = store.apply(&early, NOW);
+    let premature = change("a", Operation::Change, 0, &organisation("tri", 16));
+    let first = store.apply(&premature, NOW);
     assert_eq!(refused(&first), (RefusalKind::NotFound, 0));
     accepted(&store.apply(&change("b", Operation::Submit, 0, &organisation("tri", 1)), NOW));
-    assert_eq!(store.apply(&early, NOW), first);
+    assert_eq!(store.apply(&premature, NOW), first);
 }
 
-/// Guards against an id that hides a different change.
+/// Guards against a reused change id whose new content is ignored and answered with the old
+/// outcome.
 #[test]
 fn reused_id_is_refused() {
     let mut store = store_with_organisation("tri");
@@ -43,7 +46,7 @@
     assert!(store.get(&key(RecordKind::Organisation, "other")).is_none());
 }
 
-/// Guards against one operator overwriting another unseen.
+/// Guards against a lost update: two operators read the same generation and both replace it.
 #[test]
 fn equal_generations_conflict() {
     let mut store = store_with_organisation("tri");
@@ -55,22 +58,23 @@
     assert_eq!(refused(&store.apply(&again, NOW)), (RefusalKind::Duplicate, 2));
 }
 
-/// Guards against generations that start again after a withdrawal.
+/// Guards against generations that restart after a withdrawal, so that a stale submission is
+/// accepted.
 #[test]
 fn generations_outlive_withdrawal() {
     let mut store = store_with_organisation("tri");
     let document = organisation("tri", 8);
     let withdraw = change("w", Operation::Withdraw, 1, &document);
     assert_eq!(accepted(&store.apply(&withdraw, NOW)), (2, 2));
-    let blind = change("blind", Operation::Submit, 0, &document);
-    assert_eq!(refused(&store.apply(&blind, NOW)), (RefusalKind::Conflict, 2));
+    let stale = change("blind", Operation::Submit, 0, &document);
+    assert_eq!(refused(&store.apply(&stale, NOW)), (RefusalKind::Conflict, 2));
     let again = change("again", Operation::Submit, 2, &document);
     assert_eq!(accepted(&store.apply(&again, NOW)), (3, 3));
 }
 
-/// Guards against memory that grows without bound.
+/// Guards against a history that grows without bound with the number of changes.
 #[test]
-fn memory_is_bounded() {
+fn history_is_bounded() {
     let mut store = store_with_organisation("tri");
     for index in 0..MAX_RETAINED_CHANGE_COUNT + 10 {
         let change = change(&format!("c{index}"), Operation::Withdraw, 9, &organisation("x", 1));
@@ -79,7 +83,7 @@
     assert_eq!(store.retained_change_count(), MAX_RETAINED_CHANGE_COUNT);
 }
 
-/// Guards against refusals with long messages that fill the memory of every replica.
+/// Guards against refusals with long messages that exhaust the memory of the replicas.
 #[test]
 fn refusal_memory_is_bounded() {
     let mut store = store_with_organisation("tri");
@@ -90,15 +94,15 @@
         let change = change(&format!("c{index}"), Operation::Withdraw, 9, &organisation("x", 1));
         store.retain_outcome(&change, &outcome, NOW);
     }
-    let remembered = store.retained_change_count() as u64;
-    assert!(remembered * bytes_each <= MAX_RETAINED_MESSAGE_BYTES, "{remembered}");
-    assert!((remembered + 2) * bytes_each > MAX_RETAINED_MESSAGE_BYTES, "{remembered}");
+    let retained_count = store.retained_change_count() as u64;
+    assert!(retained_count * bytes_each <= MAX_RETAINED_MESSAGE_BYTES, "{retained_count}");
+    assert!((retained_count + 2) * bytes_each > MAX_RETAINED_MESSAGE_BYTES, "{retained_count}");
 }
 
-/// Guards against a submission, change or withdrawal that is applied again once its id is
-/// forgotten, also after the name was withdrawn.
+/// Guards against a submission, change or withdrawal that is applied twice because it is resent
+/// after its id was evicted, also when the name has been withdrawn since.
 #[test]
-fn forgotten_change_is_refused() {
+fn evicted_change_is_refused() {
     let mut store = RecordStore::default();
     let document = organisation("tri", 8);
     let changes = [
@@ -119,7 +123,8 @@
     assert_eq!(store.revision(), Revision::new(4));
 }
 
-/// Guards against a record that refers to nothing, and against a target that disappears.
+/// Guards against dangling references: a record that refers to a missing one, and the withdrawal of
+/// a record that others refer to.
 #[test]
 fn references_are_checked() {
     let mut store = store_with_organisation("tri");
@@ -135,9 +140,9 @@
     assert_eq!(refused(&store.apply(&withdraw, NOW)), (RefusalKind::InUse, 0));
 }
 
-/// Guards against a commit that rests on a check of an older state.
+/// Guards against a commit of a change that was validated against an older state of the store.
 #[test]
-fn commit_needs_the_checked_state() {
+fn commit_needs_the_validated_state() {
     let mut store = store_with_organisation("tri");
     let left = change("left", Operation::Change, 1, &organisation("tri", 2));
     let right = change("right", Operation::Change, 1, &organisation("tri", 3));
--- a/crates/yuccatack_records/tests/operator_races/main.rs
+++ b/crates/yuccatack_records/tests/operator_races/main.rs
@@ -1,6 +1,7 @@
-//! Randomised runs of racing operators with lost answers, late resends and deposed leaders.
+//! Randomised simulation of concurrent operators with lost responses, late resends and deposed
+//! leaders.
 //!
-//! `YUCCATACK_SEED` and `YUCCATACK_SEED_COUNT` choose other seeds.
+//! `YUCCATACK_SEED` and `YUCCATACK_SEED_COUNT` override the seeds.
 #![allow(clippy::print_stdout, clippy::unwrap_used, missing_docs)]
 
 #[path = "../support/mod.rs"]
@@ -12,13 +13,13 @@
 use simulation::Simulation;
 use support::seeds::seeds;
 
-/// Guards against a change that is applied twice, overwrites another unseen, is answered in two
-/// ways, or leaves replicas with different records.
+/// Guards against a change that is applied twice, loses another operator's update, gets two
+/// different outcomes, or leaves replicas with different records.
 #[test]
 fn history_is_consistent() {
     let mut accepted = 0;
     let mut repeated = 0;
-    let mut forgotten = 0;
+    let mut evicted = 0;
     let mut conflicts = 0;
     for seed in seeds(1, 20) {
         let mut simulation = Simulation::new(seed);
@@ -28,13 +29,13 @@
         let summary = simulation.finish();
         accepted += summary.accepted;
         repeated += summary.repeated;
-        forgotten += summary.resent_when_forgotten;
+        evicted += summary.resent_after_eviction;
         conflicts += summary.conflicts;
     }
     println!(
-        "{accepted} changes accepted, {conflicts} conflicts, {repeated} resends answered again, \
-         {forgotten} resends of forgotten changes"
+        "{accepted} changes accepted, {conflicts} conflicts, {repeated} resends with the first \
+         outcome, {evicted} resends of evicted changes"
     );
-    // A run without these events would guard against nothing.
-    assert!(accepted > 0 && repeated > 0 && forgotten > 0 && conflicts > 0);
+    // Without these events the checker would not be exercised.
+    assert!(accepted > 0 && repeated > 0 && evicted > 0 && conflicts > 0);
 }
--- a/crates/yuccatack_records/tests/operator_races/simulation.rs
+++ b/crates/yuccatack_records/tests/operator_races/simulation.rs
@@ -1,4 +1,4 @@
-//! Operators, replicas and the network between them under virtual time.
+//! Simulation of operators, replicas and the network between them in virtual time.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,7 +10,7 @@
 
 const REPLICA_COUNT: usize = 3;
 const NAMES: [&str; 3] = ["tri", "fin", "geo"];
-/// Clocks of successive leaders differ by up to this much in either direction.
+/// Maximum deviation of a leader's clock from virtual time, in either direction.
 const CLOCK_SKEW_MS: u64 = 2_000;
 const EIGHT_DAYS_MS: u64 = 8 * 24 * 3600 * 1000;
 
@@ -19,7 +19,7 @@
     applied: usize,
 }
 
-/// A change on its way to some replica.
+/// A change in flight to the leader.
 struct Message {
     change: Change,
     deliver_at_step: u64,
@@ -32,9 +32,9 @@
     log: Vec<(Change, TimestampMs)>,
     replicas: Vec<Replica>,
     network: Vec<Message>,
-    /// What deposed leaders hold: a new leader may still commit it.
+    /// Changes that a deposed leader logged without committing; a new leader may still commit them.
     uncommitted: Vec<Change>,
-    /// Changes sent once, for late resends.
+    /// All changes sent so far, from which resends are chosen.
     sent: Vec<Change>,
     next_change: u64,
     history: History,
@@ -66,7 +66,7 @@
         match self.random.random_range(0..100) {
             0..35 => self.send_new_change(),
             35..50 => self.resend(),
-            50..55 => self.commit_left_over(),
+            50..55 => self.resolve_uncommitted(),
             55..60 => self.restart_replica(),
             _ => self.catch_up(),
         }
@@ -84,7 +84,7 @@
         self.history.summary
     }
 
-    /// An operator reads some replica, perhaps one far behind, and asks for a change.
+    /// An operator reads a replica, which may lag behind, and sends a change based on its state.
     fn send_new_change(&mut self) {
         let name = NAMES[self.random.random_range(0..NAMES.len())];
         let replica = &self.replicas[self.random.random_range(0..REPLICA_COUNT)];
@@ -102,14 +102,14 @@
         self.send(change);
     }
 
-    /// An operator, or the network, sends a change once more: soon after, or much later.
+    /// Resends a change, either one of the eight newest or any earlier one.
     fn resend(&mut self) {
         if self.sent.is_empty() {
             return;
         }
         let recent = self.random.random_bool(0.7);
-        let from = if recent { self.sent.len().saturating_sub(8) } else { 0 };
-        let change = self.sent[self.random.random_range(from..self.sent.len())].clone();
+        let start = if recent { self.sent.len().saturating_sub(8) } else { 0 };
+        let change = self.sent[self.random.random_range(start..self.sent.len())].clone();
         self.send(change);
     }
 
@@ -118,7 +118,7 @@
         self.network.push(Message { change, deliver_at_step });
     }
 
-    /// The leader logs a change, or a deposed one keeps it without committing it.
+    /// Delivers due messages: the leader commits the change, or it is deposed after logging it.
     fn deliver(&mut self) {
         let step = self.step;
         let (due, later) = std::mem::take(&mut self.network)
@@ -134,8 +134,8 @@
         }
     }
 
-    /// A new leader commits what a deposed one had logged, or it is lost.
-    fn commit_left_over(&mut self) {
+    /// A new leader commits a change that a deposed one had logged, or the change is lost.
+    fn resolve_uncommitted(&mut self) {
         if let Some(change) = self.uncommitted.pop()
             && self.random.random_bool(0.5)
         {
@@ -148,7 +148,7 @@
         self.log.push((change, TimestampMs::new(self.now_ms + skew - CLOCK_SKEW_MS)));
     }
 
-    /// A replica applies a few entries.
+    /// A random replica applies some of the log entries that it lacks.
     fn catch_up(&mut self) {
         let index = self.random.random_range(0..REPLICA_COUNT);
         let count = self.random.random_range(1..10);
@@ -162,14 +162,14 @@
         {
             let outcome = replica.store.apply(change, *now);
             replica.applied = position + 1;
-            // Replica 0 stands for the log; the others are compared with it at the end.
+            // Only replica 0 is checked here; `finish` compares the others with it.
             if index == 0 {
                 self.history.check(change, *now, &outcome);
             }
         }
     }
 
-    /// A replica restarts from a snapshot of itself.
+    /// A random replica restarts from a snapshot of its own store.
     fn restart_replica(&mut self) {
         let index = self.random.random_range(0..REPLICA_COUNT);
         let bytes = rmp_serde::to_vec_named(&self.replicas[index].store).unwrap();
--- a/crates/yuccatack_records/tests/schema_versions.rs
+++ b/crates/yuccatack_records/tests/schema_versions.rs
@@ -1,4 +1,5 @@
-//! Both schema versions are in force side by side and read through one internal type.
+//! Records of both schema versions coexist in the store and are converted to the same internal
+//! type.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -6,7 +7,7 @@
 use support::{NOW, accepted, change, key, refused, store_with_organisation};
 use yuccatack_records::{Operation, RecordKind, RefusalKind, decode};
 
-/// The same record in version 1 and version 2.
+/// Pairs of equivalent records in version 1 and version 2.
 const PAIRS: [(&str, &str); 8] = [
     (
         r#"{"schema_version":1,"kind":"organisation","name":"tri","gpu_quota":16,"weight":3,"requests_per_minute":600,"requests_in_flight":5}"#,
@@ -42,7 +43,7 @@
     ),
 ];
 
-/// Guards against a unit or default that differs between the versions.
+/// Guards against a unit or default value that differs between the versions.
 #[test]
 fn versions_mean_the_same() {
     for (first, second) in PAIRS {
@@ -51,7 +52,7 @@
     }
 }
 
-/// Guards against a store that rewrites a document into another version.
+/// Guards against a store that converts a stored document to another version.
 #[test]
 fn document_is_kept_as_written() {
     for (first, second) in PAIRS {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Guards against a snapshot that loses part of the store.
+/// Guards against a snapshot that omits part of the store.
 #[test]
 fn snapshot_restores_the_store() {
     let mut store = store_with_organisation("tri");
@@ -84,7 +85,8 @@
     assert_eq!(store, restored);
 }
 
-/// Guards against a record of a version to come being read with today's meaning.
+/// Guards against a record of a future schema version that is interpreted by the rules of the
+/// newest known one.
 #[test]
 fn newer_version_is_refused() {
     let mut store = store_with_organisation("tri");
--- a/crates/yuccatack_records/tests/support/mod.rs
+++ b/crates/yuccatack_records/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers that build changes for the tests.
+//! Builders of changes and stores, and unwrapping of outcomes.
 #![allow(dead_code, clippy::unwrap_used, missing_docs)]
 
 pub mod seeds;
