--- a/crates/yuccatack_storage/src/error.rs
+++ b/crates/yuccatack_storage/src/error.rs
@@ -1,133 +1,133 @@
-//! Errors of the data folder; each message names the remedy.
+//! Errors of the data folder; each message states a remedy.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use snafu::Snafu;
 
-/// Why the data folder cannot be used.
+/// An error that makes the data folder unusable.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// No space is left.
+    /// The disk or the quota has no space left.
     #[snafu(display(
         "the disk that holds `{}` is full; free space on it, then start the replica again",
         path.display()
     ))]
     DiskFull {
-        /// The file that could not grow.
+        /// Path of the file that could not be extended.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
 
-    /// The system could not confirm that data reached the disk.
+    /// A sync failed, so written data may not have reached the disk.
     #[snafu(display(
         "syncing `{}` failed; check the disk, then start the replica again, or replace the \
          replica by a new member if the disk is faulty",
         path.display()
     ))]
     SyncFailed {
-        /// The file or folder.
+        /// Path of the affected file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
 
-    /// Writing is not permitted.
+    /// Permissions or a read-only file system prevent writing.
     #[snafu(display(
         "`{}` cannot be written; make the data folder writable for the user of this process and \
          check that the file system is not mounted read-only",
         path.display()
     ))]
     ReadOnly {
-        /// The file or folder.
+        /// Path of the affected file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
 
-    /// Another process uses the folder.
+    /// Another process holds the lock of the folder.
     #[snafu(display(
         "the data folder `{}` is in use by another process; stop that process or configure \
          another `data_folder`",
         path.display()
     ))]
     Locked {
-        /// The folder.
+        /// Path of the data folder.
         path: PathBuf,
     },
 
-    /// The folder was written by another replica.
+    /// The folder was formatted by another replica.
     #[snafu(display(
         "the data folder `{}` belongs to replica {found}, but this is replica {expected}; correct \
          `replica_id` or `data_folder` in the settings",
         path.display()
     ))]
     OtherReplica {
-        /// The folder.
+        /// Path of the data folder.
         path: PathBuf,
-        /// The replica that wrote the folder.
+        /// Identifier of the replica that formatted the folder.
         found: u64,
-        /// The replica that opened it.
+        /// Identifier of the replica that opened the folder.
         expected: u64,
     },
 
-    /// The folder was written by a newer program.
+    /// The folder has a format that only a newer program version reads.
     #[snafu(display(
         "the data folder `{}` has format {found}, and this program reads up to {supported}; run \
          the newer program version that wrote it",
         path.display()
     ))]
     NewerFormat {
-        /// The folder.
+        /// Path of the data folder.
         path: PathBuf,
-        /// The format found.
+        /// Format version of the folder.
         found: u32,
-        /// The newest format that this program reads.
+        /// Newest format version that this program reads.
         supported: u32,
     },
 
-    /// Synced data does not match its checksum.
+    /// Synced data is missing, inconsistent or does not match its checksum.
     #[snafu(display(
         "`{}` is corrupted at byte {offset_bytes} ({detail}); move the data folder away and let \
          this replica join again as a new member",
         path.display()
     ))]
     Corrupted {
-        /// The file.
+        /// Path of the damaged file, or of the folder if a file is missing or two files disagree.
         path: PathBuf,
-        /// Where the damage starts.
+        /// Offset at which the damage starts.
         offset_bytes: u64,
-        /// What is wrong there.
+        /// Kind of damage, for example `wrong checksum`.
         detail: &'static str,
     },
 
-    /// An earlier write or sync failed.
+    /// An earlier write or sync failed, so the folder accepts no further operations.
     #[snafu(display(
         "`{}` refuses all work after an earlier failed write or sync; start the replica again",
         path.display()
     ))]
     Refused {
-        /// The folder.
+        /// Path of the data folder.
         path: PathBuf,
     },
 
-    /// Any other failure of the file system.
+    /// Another error of the file system.
     #[snafu(display(
         "cannot use `{}`: {source}; check that the path exists and the disk works",
         path.display()
     ))]
     Io {
-        /// The file or folder.
+        /// Path of the affected file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
 impl StorageError {
-    /// Classifies an error of reading, writing or renaming `path`.
+    /// Classifies an I/O error that occurred while opening, reading, writing or renaming `path`.
     pub(crate) fn from_io(path: &Path, source: io::Error) -> Self {
         let path = path.to_owned();
         match source.kind() {
@@ -141,10 +141,10 @@
         }
     }
 
-    /// Classifies an error of syncing `path`.
+    /// Classifies an I/O error that occurred while syncing `path`.
     pub(crate) fn from_sync(path: &Path, source: io::Error) -> Self {
         match source.kind() {
-            // Some file systems allocate space only at the sync.
+            // File systems with delayed allocation report a full disk only at the sync.
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
                 Self::DiskFull { path: path.to_owned(), source }
             }
--- a/crates/yuccatack_storage/src/file.rs
+++ b/crates/yuccatack_storage/src/file.rs
@@ -1,4 +1,4 @@
-//! Files whose content is durable once synced.
+//! Durable append, atomic replacement and reading of files.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -6,12 +6,13 @@
 
 use crate::error::StorageError;
 
-/// An append-only file at the process boundary; tests substitute failing ones.
+/// An append-only file at the process boundary; a trait, so that tests can inject write and sync
+/// failures.
 pub trait DurableFile: Send {
-    /// Appends all of `bytes`.
+    /// Appends all of `bytes`; they are durable only after [`DurableFile::sync`].
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Returns once everything appended is on disk.
+    /// Blocks until all appended bytes are on disk.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -25,13 +26,13 @@
     }
 }
 
-/// Syncs the directory entries of `folder`.
+/// Syncs the directory entries of `folder`, which makes created and renamed files durable.
 pub(crate) fn sync_folder(folder: &Path) -> Result<(), StorageError> {
     let opened = File::open(folder).map_err(|source| StorageError::from_io(folder, source))?;
     opened.sync_all().map_err(|source| StorageError::from_sync(folder, source))
 }
 
-/// Replaces `folder/name` as a whole: after a crash either the old or the new content is there.
+/// Replaces `folder/name` atomically: after a crash the file has either the old or the new content.
 pub(crate) fn replace_file(
     folder: &Path,
     name: &str,
@@ -50,7 +51,7 @@
     Ok(path)
 }
 
-/// Reads `path`, or nothing when it does not exist.
+/// Reads the file at `path`, or returns `None` if it does not exist.
 pub(crate) fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, StorageError> {
     match fs::read(path) {
         Ok(content) => Ok(Some(content)),
@@ -59,7 +60,7 @@
     }
 }
 
-/// Opens `path` for appending.
+/// Opens the existing file at `path` for appending.
 pub(crate) fn open_for_append(path: &Path) -> Result<File, StorageError> {
     OpenOptions::new().append(true).open(path).map_err(|source| StorageError::from_io(path, source))
 }
--- a/crates/yuccatack_storage/src/folder.rs
+++ b/crates/yuccatack_storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: lock, owner and incarnation.
+//! Data folder of a replica: lock, owner, incarnation and failure state.
 
 use std::fs::{self, File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -16,10 +16,10 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// The files that are written after the format file.
+/// Files that exist only in a formatted folder.
 const DATA_FILES: [&str; 3] = [LOG_FILE, HARD_STATE_FILE, SNAPSHOT_FILE];
 
-/// A locked data folder of one replica.
+/// The locked data folder of a replica.
 #[derive(Clone, Debug)]
 pub struct DataFolder {
     path: Arc<Path>,
@@ -27,12 +27,13 @@
     incarnation: Incarnation,
     newly_formatted: bool,
     failed: Arc<AtomicBool>,
-    // The lock lasts until the last clone is dropped.
+    // The lock is released when the last clone is dropped.
     _lock: Arc<File>,
 }
 
 impl DataFolder {
-    /// Opens the folder of `replica_id`, and formats it when it is empty or does not exist.
+    /// Locks and opens the folder of `replica_id`; creates and formats it if it is empty or
+    /// missing.
     pub fn open(path: &Path, replica_id: u64) -> Result<Self, StorageError> {
         create_folder(path)?;
         let lock = lock_folder(path)?;
@@ -40,7 +41,7 @@
         let (format, newly_formatted) = match read_if_present(&format_path)? {
             Some(content) => (Format::decode(&format_path, &content)?, false),
             None => {
-                refuse_leftovers(path)?;
+                refuse_unformatted_data(path)?;
                 (write_format(path, replica_id)?, true)
             }
         };
@@ -58,7 +59,9 @@
         })
     }
 
-    /// The replica that a folder belongs to; nothing when the folder is empty or does not exist.
+    /// Returns the replica that a folder belongs to, or `None` if it is not formatted or missing.
+    ///
+    /// Takes no lock, so it also works while another process uses the folder.
     pub fn owner(path: &Path) -> Result<Option<u64>, StorageError> {
         let format_path = path.join(FORMAT_FILE);
         let content = read_if_present(&format_path)?;
@@ -66,35 +69,35 @@
         Ok(format.map(|format| format.replica_id))
     }
 
-    /// Where the folder is.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The replica that owns the folder.
+    /// Returns the identifier of the replica that owns the folder.
     pub fn replica_id(&self) -> u64 {
         self.replica_id
     }
 
-    /// The random number drawn when the folder was formatted.
+    /// Returns the incarnation, which is drawn at random when the folder is formatted.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whether this call to [`DataFolder::open`] formatted the folder.
+    /// Returns `true` if [`DataFolder::open`] formatted the folder, which was empty until then.
     pub fn newly_formatted(&self) -> bool {
         self.newly_formatted
     }
 
-    /// Runs `work` unless an earlier one failed; a failure makes all later ones refused.
-    pub(crate) fn guard<T>(
+    /// Runs `operation`, unless an earlier one failed; after a failure all later ones are refused.
+    pub(crate) fn run_unless_failed<T>(
         &self,
-        work: impl FnOnce() -> Result<T, StorageError>,
+        operation: impl FnOnce() -> Result<T, StorageError>,
     ) -> Result<T, StorageError> {
         if self.failed.load(Ordering::Acquire) {
             return RefusedSnafu { path: self.path.as_ref() }.fail();
         }
-        let result = work();
+        let result = operation();
         if result.is_err() {
             self.failed.store(true, Ordering::Release);
         }
@@ -129,8 +132,11 @@
     }
 }
 
-/// A folder whose format file is missing must not start over with the files that are left.
-fn refuse_leftovers(path: &Path) -> Result<(), StorageError> {
+/// Returns an error if a folder without a format file contains data files.
+///
+/// Such a folder lost its format file. Formatting it again would start a new incarnation with old
+/// data, possibly that of another replica.
+fn refuse_unformatted_data(path: &Path) -> Result<(), StorageError> {
     for name in DATA_FILES {
         if path.join(name).exists() {
             let detail = "the format file is missing";
--- a/crates/yuccatack_storage/src/format.rs
+++ b/crates/yuccatack_storage/src/format.rs
@@ -1,4 +1,4 @@
-//! The format file: version, replica and incarnation of a data folder.
+//! Format file of a data folder: format version, replica and incarnation.
 
 use std::path::Path;
 
@@ -6,16 +6,15 @@
 
 use crate::error::{CorruptedSnafu, StorageError};
 
-/// The newest folder format that this program reads, and the one that it writes.
+/// Newest format version that this program reads, and the version that it writes.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// The name of the format file.
 pub(crate) const FORMAT_FILE: &str = "format";
 
 const MAGIC: &[u8; 8] = b"yucdata\n";
 const LENGTH_BYTES: usize = 8 + 4 + 8 + 8 + 4;
 
-/// What the format file says.
+/// Content of the format file.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Format {
     pub version: u32,
@@ -35,7 +34,8 @@
         bytes
     }
 
-    /// Reads the version first, because a newer format may differ in everything after it.
+    /// Decodes the file. The version is checked first, because a newer format may differ in all
+    /// bytes after it.
     pub fn decode(path: &Path, bytes: &[u8]) -> Result<Self, StorageError> {
         let corrupted = |detail| CorruptedSnafu { path, offset_bytes: 0u64, detail }.build();
         if bytes.len() < 12 || !bytes.starts_with(MAGIC) {
@@ -65,14 +65,14 @@
     }
 }
 
-/// Reads a little-endian number; the caller has checked the length.
+/// Reads a little-endian integer at `offset`. Panics if `bytes` ends before it.
 pub(crate) fn u32_at(bytes: &[u8], offset: usize) -> u32 {
     let mut raw = [0; 4];
     raw.copy_from_slice(&bytes[offset..offset + 4]);
     u32::from_le_bytes(raw)
 }
 
-/// Reads a little-endian number; the caller has checked the length.
+/// Reads a little-endian integer at `offset`. Panics if `bytes` ends before it.
 pub(crate) fn u64_at(bytes: &[u8], offset: usize) -> u64 {
     let mut raw = [0; 8];
     raw.copy_from_slice(&bytes[offset..offset + 8]);
--- a/crates/yuccatack_storage/src/hard_state.rs
+++ b/crates/yuccatack_storage/src/hard_state.rs
@@ -1,4 +1,4 @@
-//! The hard state: term, vote and cluster.
+//! Raft hard state: term, vote and cluster.
 
 use crate::error::{CorruptedSnafu, StorageError};
 use crate::file::{read_if_present, replace_file};
@@ -8,25 +8,25 @@
 pub(crate) const HARD_STATE_FILE: &str = "hard_state";
 const LENGTH_BYTES: usize = 3 * 8 + 4;
 
-/// What a replica must remember besides its log.
+/// Consensus state that a replica must persist besides its log.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct HardState {
-    /// The newest term that the replica has seen.
+    /// Newest term that the replica has seen.
     pub term: u64,
-    /// The replica that got this replica's vote in `term`; 0 for none.
+    /// Identifier of the replica that this one voted for in `term`; 0 for none.
     pub voted_for: u64,
-    /// The cluster that the replica belongs to; 0 for none.
+    /// Identifier of the cluster that the replica belongs to; 0 for none.
     pub cluster: u64,
 }
 
-/// The file that holds the hard state.
+/// Store of the hard state, a file that is replaced atomically.
 #[derive(Debug)]
 pub struct HardStateStore {
     folder: DataFolder,
 }
 
 impl HardStateStore {
-    /// Reads the hard state back.
+    /// Reads the stored hard state, or the default if none was saved.
     pub fn open(folder: &DataFolder) -> Result<(Self, HardState), StorageError> {
         let path = folder.path().join(HARD_STATE_FILE);
         let state = match read_if_present(&path)? {
@@ -38,9 +38,9 @@
         Ok((Self { folder: folder.clone() }, state))
     }
 
-    /// Replaces the hard state; it is on disk when this returns.
+    /// Replaces the hard state atomically; it is on disk when this returns.
     pub fn save(&mut self, state: HardState) -> Result<(), StorageError> {
-        self.folder.guard(|| {
+        self.folder.run_unless_failed(|| {
             replace_file(self.folder.path(), HARD_STATE_FILE, &[&encode(state)]).map(|_| ())
         })
     }
--- a/crates/yuccatack_storage/src/lib.rs
+++ b/crates/yuccatack_storage/src/lib.rs
@@ -1,8 +1,9 @@
-//! The data folder: log file, snapshot file, checksums and sync.
+//! Durable storage of a replica in its data folder: log, snapshot and hard state, with checksums.
 //!
-//! [`DataFolder::open`] locks the folder and checks whose it is. [`Store::open`] then reads back
-//! what was synced. After a failed write or sync every store of the folder refuses further work,
-//! because the page cache is no longer evidence of what is on disk.
+//! [`DataFolder::open`] locks the folder and checks that it belongs to this replica.
+//! [`Store::open`] then recovers all synced data. After a failed write or sync, all stores of the
+//! folder refuse further operations, because the content of the page cache may differ from that of
+//! the disk.
 
 mod error;
 mod file;
--- a/crates/yuccatack_storage/src/log_entry.rs
+++ b/crates/yuccatack_storage/src/log_entry.rs
@@ -1,58 +1,60 @@
-//! The encoding of one log entry.
+//! Encoding of a log entry.
 
 use bytes::Bytes;
 
 use crate::format::{u32_at, u64_at};
 
-/// Length, checksum, term and index precede the payload.
+/// Length of an entry's header: payload length, checksum, term and index.
 pub(crate) const ENTRY_HEADER_BYTES: usize = 4 + 4 + 8 + 8;
 
-/// Marks the first entry of a group that was synced together; the top bit of the length.
+/// Flag in the top bit of the length that marks the first entry of a group; a group is synced at
+/// once.
 ///
-/// A damaged entry followed by the start of a later group was synced before that group was
-/// written, so it is corruption. Without a later group it may be the torn tail of the last write.
-const GROUP_START: u32 = 1 << 31;
+/// An invalid entry before the start of a later group is corrupted, because it was synced before
+/// that group was written. Without a later group it can be part of a torn last write.
+const GROUP_START_FLAG: u32 = 1 << 31;
 
-/// One entry as the log file holds it.
+/// A log entry as it is stored in the log file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredEntry {
-    /// The term of the leader that made the entry.
+    /// Term of the leader that created the entry.
     pub term: u64,
-    /// The position of the entry.
+    /// Position in the log; the first entry has index 1.
     pub index: u64,
-    /// The content; the log does not look into it.
+    /// Content, which the log does not interpret; must be shorter than 2 GiB.
     pub payload: Bytes,
 }
 
-/// An entry found in the log file.
-pub(crate) struct FoundEntry {
+/// An entry decoded from the log file, with its position in a group.
+pub(crate) struct DecodedEntry {
     pub entry: StoredEntry,
     pub starts_group: bool,
     pub length_bytes: usize,
 }
 
-pub(crate) fn encode_entry(entry: &StoredEntry, starts_group: bool, into: &mut Vec<u8>) {
+/// Appends the encoded entry to `buffer`.
+pub(crate) fn encode_entry(entry: &StoredEntry, starts_group: bool, buffer: &mut Vec<u8>) {
     let mut length = entry.payload.len() as u32;
     if starts_group {
-        length |= GROUP_START;
+        length |= GROUP_START_FLAG;
     }
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&length.to_le_bytes());
     hasher.update(&entry.term.to_le_bytes());
     hasher.update(&entry.index.to_le_bytes());
     hasher.update(&entry.payload);
-    into.extend_from_slice(&length.to_le_bytes());
-    into.extend_from_slice(&hasher.finalize().to_le_bytes());
-    into.extend_from_slice(&entry.term.to_le_bytes());
-    into.extend_from_slice(&entry.index.to_le_bytes());
-    into.extend_from_slice(&entry.payload);
+    buffer.extend_from_slice(&length.to_le_bytes());
+    buffer.extend_from_slice(&hasher.finalize().to_le_bytes());
+    buffer.extend_from_slice(&entry.term.to_le_bytes());
+    buffer.extend_from_slice(&entry.index.to_le_bytes());
+    buffer.extend_from_slice(&entry.payload);
 }
 
-/// Reads the entry at `offset`, or nothing when none with a right checksum starts there.
-pub(crate) fn decode_entry(file: &Bytes, offset: usize) -> Option<FoundEntry> {
+/// Decodes the entry at `offset`, or returns `None` if no entry with a valid checksum starts there.
+pub(crate) fn decode_entry(file: &Bytes, offset: usize) -> Option<DecodedEntry> {
     let header = file.get(offset..offset + ENTRY_HEADER_BYTES)?;
     let raw_length = u32_at(header, 0);
-    let payload_bytes = (raw_length & !GROUP_START) as usize;
+    let payload_bytes = (raw_length & !GROUP_START_FLAG) as usize;
     let payload_start = offset + ENTRY_HEADER_BYTES;
     let payload_end = payload_start.checked_add(payload_bytes)?;
     if payload_end > file.len() {
@@ -65,7 +67,7 @@
     if hasher.finalize() != u32_at(header, 4) {
         return None;
     }
-    // A run of zeros is no entry: index 0 does not exist.
+    // Indexes start at 1, so a zero-filled range is never an entry.
     let index = u64_at(header, 16);
     if index == 0 {
         return None;
@@ -75,9 +77,9 @@
         index,
         payload: file.slice(payload_start..payload_end),
     };
-    Some(FoundEntry {
+    Some(DecodedEntry {
         entry,
-        starts_group: raw_length & GROUP_START != 0,
+        starts_group: raw_length & GROUP_START_FLAG != 0,
         length_bytes: ENTRY_HEADER_BYTES + payload_bytes,
     })
 }
--- a/crates/yuccatack_storage/src/log_store.rs
+++ b/crates/yuccatack_storage/src/log_store.rs
@@ -1,7 +1,7 @@
-//! The log file.
+//! Append-only log file.
 //!
-//! The file is append-only. An entry whose index is not above the last one replaces everything
-//! from that index on, so that resolving a conflict costs the same single sync as an append.
+//! An entry whose index is not above the last one replaces all entries from that index on.
+//! Therefore, replacing conflicting entries needs only a single sync, as an append does.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -18,16 +18,16 @@
 const MAGIC: &[u8; 8] = b"yuclog1\n";
 const FILE_HEADER_BYTES: usize = 8 + 8 + 8 + 4;
 
-/// The position just before the first entry of the log.
+/// The position immediately before the first entry of the log.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LogBase {
-    /// The index of the last entry that was compacted away; 0 for none.
+    /// Index of the last entry that compaction removed; 0 for none.
     pub index: u64,
-    /// The term of that entry.
+    /// Term of that entry; 0 for none.
     pub term: u64,
 }
 
-/// The log file of a data folder.
+/// The log of a data folder, open for appending.
 pub struct LogStore {
     folder: DataFolder,
     path: PathBuf,
@@ -35,24 +35,24 @@
     buffer: Vec<u8>,
 }
 
-/// What [`LogStore::open`] found.
+/// The content of the log that [`LogStore::open`] recovered.
 #[derive(Debug)]
 pub struct OpenedLog {
-    /// Where the entries start.
+    /// Position before the first entry.
     pub base: LogBase,
-    /// The entries after the base, without gaps.
+    /// Entries after the base, without gaps.
     pub entries: Vec<StoredEntry>,
-    /// How many bytes of a torn last write were cut off.
+    /// Number of bytes of a torn last write that were truncated.
     pub torn_bytes: u64,
 }
 
 impl LogStore {
-    /// Opens the log file, creates it if needed, and cuts off a torn last write.
+    /// Opens the log file, creates it if it is missing, and truncates a torn last write.
     pub fn open(folder: &DataFolder) -> Result<(Self, OpenedLog), StorageError> {
         Self::open_with(folder, |file| Box::new(file))
     }
 
-    /// Like [`LogStore::open`], with the opened file wrapped by `wrap`.
+    /// Opens the log file as [`LogStore::open`] does, and wraps the opened file with `wrap`.
     pub fn open_with(
         folder: &DataFolder,
         wrap: impl FnOnce(File) -> Box<dyn DurableFile>,
@@ -67,13 +67,13 @@
         };
         let file = open_for_append(&path)?;
         if opened.torn_bytes > 0 {
-            cut_tail(&path, &file, opened.torn_bytes)?;
+            truncate_torn_tail(&path, &file, opened.torn_bytes)?;
         }
         let store = Self { folder: folder.clone(), path, file: wrap(file), buffer: Vec::new() };
         Ok((store, opened))
     }
 
-    /// Appends `entries` as one group with one sync.
+    /// Appends `entries` as one group with a single sync; they are on disk when this returns.
     pub fn append(&mut self, entries: &[StoredEntry]) -> Result<(), StorageError> {
         if entries.is_empty() {
             return Ok(());
@@ -83,13 +83,13 @@
             encode_entry(entry, position == 0, &mut self.buffer);
         }
         let Self { folder, path, file, buffer } = self;
-        folder.guard(|| {
+        folder.run_unless_failed(|| {
             file.append(buffer).map_err(|source| StorageError::from_io(path, source))?;
             file.sync().map_err(|source| StorageError::from_sync(path, source))
         })
     }
 
-    /// Replaces the file by one that starts at `base` and holds `entries`.
+    /// Replaces the log file atomically by one that starts at `base` and holds `entries`.
     pub fn rewrite(&mut self, base: LogBase, entries: &[StoredEntry]) -> Result<(), StorageError> {
         self.buffer.clear();
         self.buffer.extend_from_slice(&encode_header(base));
@@ -97,25 +97,25 @@
             encode_entry(entry, position == 0, &mut self.buffer);
         }
         let Self { folder, path, file, buffer } = self;
-        let reopened = folder.guard(|| {
+        let reopened = folder.run_unless_failed(|| {
             replace_file(folder.path(), LOG_FILE, &[buffer])?;
             open_for_append(path)
         })?;
         *file = Box::new(reopened);
-        // A compaction can be large; its buffer is not kept.
+        // The buffer of a compaction can be large, so its memory is released.
         self.buffer = Vec::new();
         Ok(())
     }
 }
 
-fn cut_tail(path: &Path, file: &File, torn_bytes: u64) -> Result<(), StorageError> {
+fn truncate_torn_tail(path: &Path, file: &File, torn_bytes: u64) -> Result<(), StorageError> {
     let length = file.metadata().map_err(|source| StorageError::from_io(path, source))?.len();
     file.set_len(length.saturating_sub(torn_bytes))
         .map_err(|source| StorageError::from_io(path, source))?;
     file.sync_all().map_err(|source| StorageError::from_sync(path, source))?;
     log::warn!(
         event = "torn_tail_cut", torn_bytes = torn_bytes;
-        "cut an unfinished last write off the log"
+        "truncated an incomplete last write; the log ends at its last valid entry"
     );
     Ok(())
 }
@@ -142,31 +142,33 @@
     let corrupted = |offset: usize, detail| {
         CorruptedSnafu { path, offset_bytes: offset as u64, detail }.build()
     };
-    // The header is written by a rename, so it is never torn.
+    // The file is created by an atomic rename, so its header is never torn.
     let base = decode_header(file).ok_or_else(|| corrupted(0, "wrong header"))?;
     let mut entries: Vec<StoredEntry> = Vec::new();
     let mut offset = FILE_HEADER_BYTES;
     while offset < file.len() {
-        let Some(found) = decode_entry(file, offset) else {
-            if later_group_starts(file, offset + 1) {
+        let Some(decoded) = decode_entry(file, offset) else {
+            if has_group_start(file, offset + 1) {
                 return Err(corrupted(offset, "wrong checksum before the last write"));
             }
             break;
         };
-        let first_free = base.index + 1 + entries.len() as u64;
-        if found.entry.index <= base.index || found.entry.index > first_free {
+        let next_index = base.index + 1 + entries.len() as u64;
+        if decoded.entry.index <= base.index || decoded.entry.index > next_index {
             return Err(corrupted(offset, "gap between entries"));
         }
-        entries.truncate((found.entry.index - base.index - 1) as usize);
-        entries.push(found.entry);
-        offset += found.length_bytes;
+        entries.truncate((decoded.entry.index - base.index - 1) as usize);
+        entries.push(decoded.entry);
+        offset += decoded.length_bytes;
     }
     let torn_bytes = (file.len() - offset.min(file.len())) as u64;
     Ok(OpenedLog { base, entries, torn_bytes })
 }
 
-/// Looks for the start of a group at any byte from `offset` on.
-fn later_group_starts(file: &Bytes, offset: usize) -> bool {
+/// Returns `true` if a group of entries starts at any byte from `offset` on.
+///
+/// Every byte is tried, because the length of an invalid entry is unreliable.
+fn has_group_start(file: &Bytes, offset: usize) -> bool {
     (offset..file.len())
-        .any(|candidate| decode_entry(file, candidate).is_some_and(|found| found.starts_group))
+        .any(|candidate| decode_entry(file, candidate).is_some_and(|decoded| decoded.starts_group))
 }
--- a/crates/yuccatack_storage/src/snapshot.rs
+++ b/crates/yuccatack_storage/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot file.
+//! Snapshot file of a data folder, which is replaced atomically.
 
 use bytes::Bytes;
 
@@ -11,27 +11,27 @@
 const MAGIC: &[u8; 8] = b"yucsnap\n";
 const HEADER_BYTES: usize = 8 + 8 + 8 + 4 + 4;
 
-/// State that replaces the log up to an index.
+/// A snapshot of the replicated state, which replaces the log up to an index.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Snapshot {
-    /// The last entry that the snapshot includes.
+    /// Index of the last entry that the snapshot includes.
     pub index: u64,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: u64,
-    /// What the owner of the log keeps about itself.
+    /// Encoded data of the consensus layer, for example the membership.
     pub metadata: Bytes,
-    /// The state.
+    /// Encoded state of the application.
     pub payload: Bytes,
 }
 
-/// The file that holds the newest snapshot.
+/// Store of the newest snapshot.
 #[derive(Debug)]
 pub struct SnapshotStore {
     folder: DataFolder,
 }
 
 impl SnapshotStore {
-    /// Reads the newest snapshot back.
+    /// Reads the newest snapshot, or `None` if none was saved.
     pub fn open(folder: &DataFolder) -> Result<(Self, Option<Snapshot>), StorageError> {
         let path = folder.path().join(SNAPSHOT_FILE);
         let snapshot = match read_if_present(&path)? {
@@ -43,11 +43,13 @@
         Ok((Self { folder: folder.clone() }, snapshot))
     }
 
-    /// Replaces the snapshot; it is on disk when this returns.
+    /// Replaces the snapshot atomically; it is on disk when this returns.
     pub fn save(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
         let header = encode_header(snapshot);
         let parts = [&header[..], &snapshot.metadata, &snapshot.payload];
-        self.folder.guard(|| replace_file(self.folder.path(), SNAPSHOT_FILE, &parts).map(|_| ()))
+        self.folder.run_unless_failed(|| {
+            replace_file(self.folder.path(), SNAPSHOT_FILE, &parts).map(|_| ())
+        })
     }
 }
 
--- a/crates/yuccatack_storage/src/store.rs
+++ b/crates/yuccatack_storage/src/store.rs
@@ -1,4 +1,4 @@
-//! All files of a data folder together.
+//! Recovery of all files of a data folder.
 
 use crate::error::{CorruptedSnafu, StorageError};
 use crate::folder::DataFolder;
@@ -7,31 +7,31 @@
 use crate::log_store::{LOG_FILE, LogBase, LogStore, OpenedLog};
 use crate::snapshot::{SNAPSHOT_FILE, Snapshot, SnapshotStore};
 
-/// The files of one data folder.
+/// The stores of a data folder.
 pub struct Store {
-    /// The log file.
+    /// Store of the log entries.
     pub log: LogStore,
-    /// The snapshot file.
+    /// Store of the newest snapshot.
     pub snapshots: SnapshotStore,
-    /// The hard state.
+    /// Store of term, vote and cluster.
     pub hard_state: HardStateStore,
 }
 
-/// What a data folder held when it was opened.
+/// The content of a data folder when it was opened.
 #[derive(Debug)]
 pub struct Recovered {
-    /// Term, vote and cluster.
+    /// Stored hard state, or the default if none was saved.
     pub hard_state: HardState,
-    /// The newest snapshot.
+    /// Newest snapshot, or `None` if none was saved.
     pub snapshot: Option<Snapshot>,
-    /// The position before the first entry.
+    /// Position before the first entry.
     pub base: LogBase,
-    /// The entries after the base, without gaps.
+    /// Entries after the base, without gaps.
     pub entries: Vec<StoredEntry>,
 }
 
 impl Store {
-    /// Opens the files of `folder` and checks that snapshot and log meet without a gap.
+    /// Opens the files of `folder` and checks that no entry is missing between snapshot and log.
     pub fn open(folder: &DataFolder) -> Result<(Self, Recovered), StorageError> {
         refuse_missing_log(folder)?;
         let (hard_state, recovered_state) = HardStateStore::open(folder)?;
@@ -40,7 +40,7 @@
         let snapshot_index = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let holds_data = snapshot.is_some() || !opened.entries.is_empty();
         if recovered_state == HardState::default() && holds_data {
-            // The vote that the replica gave would be forgotten.
+            // Without the hard state the replica could vote twice in a term.
             return CorruptedSnafu {
                 path: folder.path(),
                 offset_bytes: 0u64,
@@ -57,9 +57,10 @@
             .fail();
         }
         if let Some(snapshot) = &snapshot
-            && !reaches(&opened, snapshot)
+            && !matches_snapshot(&opened, snapshot)
         {
-            // The process ended between saving a received snapshot and restarting the log after it.
+            // The process stopped after saving a received snapshot and before it replaced the log
+            // by an empty one that starts after the snapshot.
             opened.base = LogBase { index: snapshot.index, term: snapshot.term };
             opened.entries.clear();
             log.rewrite(opened.base, &[])?;
@@ -75,7 +76,9 @@
     }
 }
 
-/// The log file is made before the others, so it is missing only when it was lost.
+/// Returns an error if the log file is missing next to a hard state or snapshot file.
+///
+/// The log file is created before the others, so in that case it was lost.
 fn refuse_missing_log(folder: &DataFolder) -> Result<(), StorageError> {
     let exists = |name| folder.path().join(name).exists();
     if !exists(LOG_FILE) && (exists(HARD_STATE_FILE) || exists(SNAPSHOT_FILE)) {
@@ -85,8 +88,8 @@
     Ok(())
 }
 
-/// Whether the log holds the last entry that the snapshot includes.
-fn reaches(log: &OpenedLog, snapshot: &Snapshot) -> bool {
+/// Returns `true` if the log contains the last entry that the snapshot includes, in the same term.
+fn matches_snapshot(log: &OpenedLog, snapshot: &Snapshot) -> bool {
     if snapshot.index == log.base.index {
         return snapshot.term == log.base.term;
     }
--- a/crates/yuccatack_storage/tests/disk_faults.rs
+++ b/crates/yuccatack_storage/tests/disk_faults.rs
@@ -1,4 +1,4 @@
-//! Damaged, foreign and failing data folders: each gives its own error that names the remedy.
+//! Errors for damaged, foreign and failing data folders; each of them states a remedy.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::fs::{self, File, OpenOptions};
@@ -17,8 +17,8 @@
     indexes.map(entry).collect()
 }
 
-/// Three groups of entries, a snapshot and a hard state of replica 1.
-fn fill(path: &Path) {
+/// Creates a data folder of replica 1 with three groups of entries, a snapshot and a hard state.
+fn create_data_folder(path: &Path) {
     let folder = DataFolder::open(path, 1).unwrap();
     let (mut store, _) = Store::open(&folder).unwrap();
     store.log.append(&entries(1..=3)).unwrap();
@@ -42,13 +42,14 @@
     file.write_all_at(&[byte[0] ^ 1], offset).unwrap();
 }
 
-/// The log header has 28 bytes, an entry of `entries` 124.
+/// Length of the log header.
 const HEADER_BYTES: u64 = 28;
+/// Length of an encoded entry of `entries`.
 const ENTRY_BYTES: u64 = 124;
 
 type Damage = fn(&Path);
 
-/// Guards against a damaged or foreign folder that is used, or refused without a remedy.
+/// Guards against a damaged or foreign folder that is opened, or refused without a remedy.
 #[test]
 fn refused_folders() {
     let cases: [(&str, Damage, u64, &str, &str); 12] = [
@@ -89,7 +90,7 @@
     ];
     for (name, damage, replica_id, kind, remedy) in cases {
         let folder = tempfile::tempdir().unwrap();
-        fill(folder.path());
+        create_data_folder(folder.path());
         damage(folder.path());
         let error = open(folder.path(), replica_id).expect_err(name);
         assert!(format!("{error:?}").starts_with(kind), "{name}: {error:?}");
@@ -97,7 +98,8 @@
     }
 }
 
-/// Guards against a torn last write that stops a restart or survives in part.
+/// Guards against a torn last write, as a crash leaves it, that prevents a restart or is only
+/// partly truncated.
 #[test]
 fn torn_tails() {
     let cases: [(&str, Damage, u64); 6] = [
@@ -114,11 +116,11 @@
     ];
     for (name, damage, last) in cases {
         let folder = tempfile::tempdir().unwrap();
-        fill(folder.path());
+        create_data_folder(folder.path());
         damage(folder.path());
         let recovered = open(folder.path(), 1).expect(name);
         assert_eq!(recovered.entries.last().unwrap().index, last, "{name}");
-        // The cut must be complete: a new group after it reads back.
+        // A group that is appended after the truncation is readable only if no torn bytes remain.
         let data_folder = DataFolder::open(folder.path(), 1).unwrap();
         let (mut store, _) = Store::open(&data_folder).unwrap();
         store.log.append(&entries(last + 1..=last + 2)).unwrap();
@@ -147,7 +149,7 @@
     Sync(io::ErrorKind),
 }
 
-/// A real file that fails once.
+/// A file on disk whose next write or sync fails; later calls succeed.
 struct FailingFile {
     file: File,
     failure: Option<Failure>,
@@ -172,8 +174,8 @@
     }
 }
 
-/// Guards against a store that goes on after a failed write or sync, when the page cache is no
-/// evidence of what is on disk.
+/// Guards against a store that continues after a failed write or sync, when the content of the page
+/// cache may differ from that of the disk.
 #[test]
 fn failing_disks() {
     let cases = [
@@ -185,7 +187,7 @@
     ];
     for (failure, kind, remedy) in cases {
         let path = tempfile::tempdir().unwrap();
-        fill(path.path());
+        create_data_folder(path.path());
         let folder = DataFolder::open(path.path(), 1).unwrap();
         let (store, _) = Store::open(&folder).unwrap();
         let Store { mut snapshots, mut hard_state, log } = store;
@@ -201,13 +203,13 @@
         let metadata = Bytes::new();
         let snapshot =
             Snapshot { index: 6, term: 1, metadata: metadata.clone(), payload: metadata };
-        let later = [
+        let later_results = [
             log.append(&entries(10..=12)),
             log.rewrite(LogBase::default(), &[]),
             snapshots.save(&snapshot),
             hard_state.save(HardState::default()),
         ];
-        for result in later {
+        for result in later_results {
             let error = result.unwrap_err();
             assert!(matches!(error, StorageError::Refused { .. }), "{error:?}");
             assert!(error.to_string().contains("start the replica again"), "{error}");
@@ -219,7 +221,8 @@
     }
 }
 
-/// Guards against a second process that uses the folder, and against a folder that cannot be made.
+/// Guards against a folder that two processes use at the same time, and against an unclear error
+/// for a folder that cannot be created.
 #[test]
 fn unusable_paths() {
     let path = tempfile::tempdir().unwrap();
@@ -236,8 +239,8 @@
     assert!(matches!(error, StorageError::Io { .. }), "{error:?}");
 }
 
-/// Guards against a read-only folder that is reported as something else. The superuser may write
-/// to any folder on a disk, so the kernel's own folder, which takes no files, stands for one.
+/// Guards against a read-only folder that is reported as another error. The superuser can write to
+/// any folder on a disk, so for it the test uses `/sys`, in which no file can be created.
 #[test]
 fn read_only_folder() {
     let path = tempfile::tempdir().unwrap();
--- a/crates/yuccatack_storage/tests/stored_log.rs
+++ b/crates/yuccatack_storage/tests/stored_log.rs
@@ -1,4 +1,4 @@
-//! What is written reads back.
+//! Recovery of synced data when the data folder is opened again.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use bytes::Bytes;
@@ -9,9 +9,9 @@
     StoredEntry { term, index, payload }
 }
 
-/// Guards against a store that loses or reorders what it synced.
+/// Guards against a store that loses or reorders synced entries, or loses the hard state.
 #[test]
-fn reads_back() {
+fn recovers_synced_data() {
     let path = tempfile::tempdir().unwrap();
     let folder = DataFolder::open(path.path(), 7).unwrap();
     let incarnation = folder.incarnation();
@@ -21,7 +21,7 @@
     let state = HardState { term: 3, voted_for: 2, cluster: 9 };
     store.hard_state.save(state).unwrap();
     store.log.append(&[entry(1, 1), entry(1, 2), entry(1, 3)]).unwrap();
-    // A new leader replaces the end of the log.
+    // A new leader replaces conflicting entries at the end of the log.
     store.log.append(&[entry(2, 2), entry(2, 3)]).unwrap();
     store.log.append(&[entry(3, 3)]).unwrap();
     drop((store, folder));
@@ -34,9 +34,9 @@
     assert_eq!(recovered.entries, [entry(1, 1), entry(2, 2), entry(3, 3)]);
 }
 
-/// Guards against a compaction that loses entries or appends to the replaced file.
+/// Guards against a compaction that loses entries, or after which appends go to the replaced file.
 #[test]
-fn compacts() {
+fn compaction_keeps_entries() {
     let path = tempfile::tempdir().unwrap();
     let folder = DataFolder::open(path.path(), 7).unwrap();
     let (mut store, _) = Store::open(&folder).unwrap();
@@ -62,10 +62,10 @@
     assert_eq!(indexes, [7, 8, 9, 10, 11]);
 }
 
-/// Guards against a restart between saving a received snapshot and restarting the log after it:
+/// Guards against a process that stops between saving a received snapshot and replacing the log:
 /// the old log would conflict with the snapshot, or the next append would leave a gap.
 #[test]
-fn finishes_an_interrupted_installation() {
+fn completes_interrupted_installation() {
     for (snapshot_index, snapshot_term) in [(20, 4), (3, 4)] {
         let path = tempfile::tempdir().unwrap();
         let folder = DataFolder::open(path.path(), 7).unwrap();
