--- a/crates/yuccatack_storage/src/log_store.rs
+++ b/crates/yuccatack_storage/src/log_store.rs
@@ -115,7 +115,7 @@
     file.sync_all().map_err(|source| StorageError::from_sync(path, source))?;
     log::warn!(
         event = "torn_tail_cut", torn_bytes = torn_bytes;
-        "truncated an incomplete last write; the log ends at its last valid entry"
+        "cut an unfinished last write off the log"
     );
     Ok(())
 }
