--- a/crates/yuccatack_queue_client/src/backoff.rs
+++ b/crates/yuccatack_queue_client/src/backoff.rs
@@ -1,36 +1,36 @@
-//! Delays between attempts that grow and differ between nodes.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
-/// How much longer each delay is than the one before.
+/// Ratio of each nominal delay to the one before.
 const GROWTH_FACTOR: u32 = 2;
 
-/// Delays for one series of attempts.
+/// Growing, randomised delays for one series of attempts.
 ///
-/// Without a leader every agent and entry searches at the same time. Searches at a fixed short
-/// interval would keep the replicas busy with refusals, and from electing one.
+/// Without a leader, every agent and entry searches for one at the same time. At a short fixed
+/// interval, the replicas would be so busy refusing them that they could not elect a leader.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    first: Duration,
-    limit: Duration,
+    initial: Duration,
+    max: Duration,
     next: Duration,
 }
 
 impl Backoff {
-    /// Delays from `first` up to `limit`.
-    pub const fn new(first: Duration, limit: Duration) -> Self {
-        Self { first, limit, next: first }
+    /// Creates a backoff whose nominal delays grow from `initial` up to `max`.
+    pub const fn new(initial: Duration, max: Duration) -> Self {
+        Self { initial, max, next: initial }
     }
 
-    /// The next delay: a random one between half of its nominal length and all of it.
+    /// Returns the next delay, drawn at random from between half and all of its nominal length.
     pub fn delay(&mut self) -> Duration {
         let nominal = self.next;
-        self.next = (nominal * GROWTH_FACTOR).min(self.limit);
+        self.next = (nominal * GROWTH_FACTOR).min(self.max);
         nominal.mul_f64(rand::random_range(0.5..=1.0))
     }
 
-    /// Begins anew after a success.
+    /// Returns to the initial delay after a success.
     pub fn reset(&mut self) {
-        self.next = self.first;
+        self.next = self.initial;
     }
 }
--- a/crates/yuccatack_queue_client/src/client.rs
+++ b/crates/yuccatack_queue_client/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to whichever replica leads.
+//! Client that finds the leading replica and calls it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,71 +9,74 @@
 use tonic::{Code, Status, Streaming};
 
 use crate::backoff::Backoff;
-use crate::directory::{Candidate, Directory, Finding};
+use crate::directory::{CallOutcome, Candidate, Directory};
 use crate::error::CallError;
 use crate::generated::queue_control::Envelope;
 use crate::generated::queue_control::queue_control_client::QueueControlClient;
 use crate::protocol::{AgentFrame, LeaderFrame, Request, Response};
 
-/// How long one replica may take to answer. A commit takes a few round trips and syncs, tens of
-/// milliseconds on sound machines; a slow disk stretches that to some hundreds.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(800);
+/// Timeout of a call to one replica. A commit takes a few round trips and syncs: tens of
+/// milliseconds on healthy machines, some hundreds with a slow disk.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long a replica may take to confirm its lead, which needs a round trip to a quorum and no disk.
-const CONFIRMATION_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout for a replica to confirm its leadership, which takes a round trip to a quorum and no
+/// disk access.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long to wait after all replicas were tried, at first and at most. An election takes several
-/// times the first delay.
-const FIRST_ROUND_DELAY: Duration = Duration::from_millis(60);
-const LONGEST_ROUND_DELAY: Duration = Duration::from_millis(250);
+/// Initial delay after all replicas were tried. An election takes several times as long.
+const INITIAL_ROUND_DELAY: Duration = Duration::from_millis(60);
 
-/// How many frames may wait in an agent's stream.
+/// Longest delay after all replicas were tried.
+const MAX_ROUND_DELAY: Duration = Duration::from_millis(250);
+
+/// Number of frames that may be queued in an agent's stream.
 const STREAM_QUEUE_LENGTH: usize = 64;
 
-/// The largest message; a whole configuration must fit.
+/// Largest message; a whole configuration must fit into one.
 const MESSAGE_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 
-/// Calls the leader; clones are cheap.
+/// Calls the leader. Clones are cheap and share the connections.
 #[derive(Clone, Debug)]
 pub struct QueueClient {
     directory: Directory,
 }
 
-/// An agent's open stream to the leader.
+/// Open stream of an agent to a replica that may lead.
 #[derive(Debug)]
 pub struct AgentStream {
     sender: mpsc::Sender<Envelope>,
     receiver: Streaming<Envelope>,
     address: SocketAddr,
     directory: Directory,
-    /// Whether the replica has sent anything that only a leader sends.
-    led: bool,
+    /// `true` once the replica has sent a frame that only a leader sends.
+    is_leader: bool,
 }
 
-/// How one attempt ended without an answer of the leader.
-enum Attempt {
-    /// Nothing reached the replica's state.
+/// Failure of an attempt to get a response of the leader.
+enum AttemptError {
+    /// The request has not taken effect and cannot do so any more.
     NotDone,
-    /// It may have.
+    /// The request may have taken effect or may do so later.
     Unknown,
 }
 
 impl QueueClient {
-    /// A client that begins with the given replicas; their addresses may change later.
+    /// Creates a client that searches for the leader among `seeds`, whose addresses may change
+    /// later.
     pub fn new(seeds: watch::Receiver<Vec<SocketAddr>>) -> Self {
         Self { directory: Directory::spawn(seeds) }
     }
 
-    /// Calls the leader, and looks for another one until `limit` is over.
-    pub async fn call(&self, request: &Request, limit: Duration) -> Result<Response, CallError> {
-        let deadline = Instant::now() + limit;
+    /// Calls the leader; on failure searches for another one until `timeout` is over.
+    pub async fn call(&self, request: &Request, timeout: Duration) -> Result<Response, CallError> {
+        let deadline = Instant::now() + timeout;
         let envelope = Envelope::try_from(request).map_err(|error| {
-            log::error!(event = "call_not_encoded"; "{error}");
+            log::error!(event = "call_not_encoded"; "the request was not sent: {error}");
             CallError::NotDone
         })?;
         let mut tried = Vec::new();
-        let mut maybe_done = false;
-        let mut backoff = Backoff::new(FIRST_ROUND_DELAY, LONGEST_ROUND_DELAY);
+        let mut may_have_taken_effect = false;
+        let mut backoff = Backoff::new(INITIAL_ROUND_DELAY, MAX_ROUND_DELAY);
         while Instant::now() < deadline {
             let Some(candidate) = self.directory.next(&tried).await else {
                 tried.clear();
@@ -83,78 +86,87 @@
             let address = candidate.address;
             match self.attempt(request, &envelope, candidate, deadline).await {
                 Ok(response) => return Ok(response),
-                Err(Attempt::NotDone) => {}
-                Err(Attempt::Unknown) => maybe_done |= request.has_effects(),
+                Err(AttemptError::NotDone) => {}
+                Err(AttemptError::Unknown) => may_have_taken_effect |= request.has_effects(),
             }
             tried.push(address);
         }
-        Err(if maybe_done { CallError::Unknown } else { CallError::NotDone })
+        Err(if may_have_taken_effect { CallError::Unknown } else { CallError::NotDone })
     }
 
-    /// Calls one replica. It gets a request with effects only shortly after it has confirmed its
-    /// lead, since one that is cut off or down would leave the caller without knowing the outcome.
+    /// Calls one replica.
+    ///
+    /// A request with effects is only sent shortly after the replica has confirmed its leadership:
+    /// from a replica that is partitioned or down, the caller would never learn the outcome.
     async fn attempt(
         &self,
         request: &Request,
         envelope: &Envelope,
         candidate: Candidate,
         deadline: Instant,
-    ) -> Result<Response, Attempt> {
+    ) -> Result<Response, AttemptError> {
         let Candidate { address, channel, confirmed } = candidate;
-        let mut replica = replica(channel);
+        let mut client = replica_client(channel);
         if request.has_effects() && !confirmed {
             let ping = Envelope::try_from(&Request::Ping).map_err(|error| {
-                log::error!(event = "call_not_encoded"; "{error}");
-                Attempt::NotDone
+                log::error!(event = "call_not_encoded"; "the ping was not sent: {error}");
+                AttemptError::NotDone
             })?;
-            let limit = deadline.min(Instant::now() + CONFIRMATION_LIMIT);
-            let answer = timeout_at(limit, replica.call(ping)).await;
-            self.judge(address, answer).await.map_err(|_| Attempt::NotDone)?;
+            let attempt_deadline = deadline.min(Instant::now() + CONFIRMATION_TIMEOUT);
+            let result = timeout_at(attempt_deadline, client.call(ping)).await;
+            self.evaluate_result(address, result).await.map_err(|_| AttemptError::NotDone)?;
         }
-        let limit = deadline.min(Instant::now() + ATTEMPT_LIMIT);
-        let answer = timeout_at(limit, replica.call(envelope.clone())).await;
-        self.judge(address, answer).await
+        let attempt_deadline = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
+        let result = timeout_at(attempt_deadline, client.call(envelope.clone())).await;
+        self.evaluate_result(address, result).await
     }
 
-    async fn judge(
+    /// Records the result of a call in the directory and converts it to a response of the leader.
+    async fn evaluate_result(
         &self,
         address: SocketAddr,
-        answer: Result<Result<tonic::Response<Envelope>, Status>, tokio::time::error::Elapsed>,
-    ) -> Result<Response, Attempt> {
-        let envelope = match answer {
-            Ok(Ok(answer)) => answer.into_inner(),
+        result: Result<Result<tonic::Response<Envelope>, Status>, tokio::time::error::Elapsed>,
+    ) -> Result<Response, AttemptError> {
+        let envelope = match result {
+            Ok(Ok(response)) => response.into_inner(),
             Ok(Err(status)) => {
-                self.directory.found(address, Finding::Silent).await;
+                self.directory.record(address, CallOutcome::Unresponsive).await;
                 return Err(match status.code() {
-                    // The replica refuses by itself only what it has not begun.
-                    Code::FailedPrecondition | Code::ResourceExhausted => Attempt::NotDone,
-                    _ if is_connect_failure(&status) => Attempt::NotDone,
-                    _ => Attempt::Unknown,
+                    // A replica only returns these codes before it handles the request.
+                    Code::FailedPrecondition | Code::ResourceExhausted => AttemptError::NotDone,
+                    _ if is_connect_failure(&status) => AttemptError::NotDone,
+                    _ => AttemptError::Unknown,
                 });
             }
             Err(_) => {
-                self.directory.found(address, Finding::Silent).await;
-                return Err(Attempt::Unknown);
+                self.directory.record(address, CallOutcome::Unresponsive).await;
+                return Err(AttemptError::Unknown);
             }
         };
         match Response::try_from(envelope) {
             Ok(Response::NotLeader(hint)) => {
-                self.directory.found(address, Finding::Follows(hint)).await;
-                Err(Attempt::NotDone)
+                self.directory.record(address, CallOutcome::NotLeader(hint)).await;
+                Err(AttemptError::NotDone)
             }
-            Ok(Response::Unknown) => Err(Attempt::Unknown),
+            Ok(Response::Unknown) => Err(AttemptError::Unknown),
             Ok(response) => {
-                self.directory.found(address, Finding::Confirmed).await;
+                self.directory.record(address, CallOutcome::ConfirmedLeader).await;
                 Ok(response)
             }
             Err(error) => {
-                log::error!(event = "answer_not_decoded", address:% = address; "{error}");
-                Err(Attempt::Unknown)
+                log::error!(
+                    event = "answer_not_decoded", address:% = address;
+                    "the outcome of the call is unknown: {error}"
+                );
+                Err(AttemptError::Unknown)
             }
         }
     }
 
-    /// Opens an agent's stream to a replica that may lead; `tried` were found not to.
+    /// Opens an agent's stream to a replica that may lead and is not in `tried`.
+    ///
+    /// Fails with the address of the replica that could not be reached, or with `None` if no
+    /// untried replica is left or `hello` cannot be encoded.
     pub async fn attach(
         &self,
         tried: &[SocketAddr],
@@ -162,78 +174,88 @@
     ) -> Result<AgentStream, Option<SocketAddr>> {
         let candidate = self.directory.next(tried).await.ok_or(None)?;
         let address = candidate.address;
-        let failed = Some(address);
+        let unreachable = Some(address);
         let (sender, queued) = mpsc::channel(STREAM_QUEUE_LENGTH);
         let first = Envelope::try_from(hello).map_err(|_| None)?;
         sender.send(first).await.map_err(|_| None)?;
-        let mut replica = replica(candidate.channel);
-        let opened = replica.attach(ReceiverStream::new(queued));
-        match timeout_at(Instant::now() + ATTEMPT_LIMIT, opened).await {
+        let mut client = replica_client(candidate.channel);
+        let opened = client.attach(ReceiverStream::new(queued));
+        match timeout_at(Instant::now() + ATTEMPT_TIMEOUT, opened).await {
             Ok(Ok(stream)) => {
                 let receiver = stream.into_inner();
                 let directory = self.directory.clone();
-                Ok(AgentStream { sender, receiver, address, directory, led: false })
+                Ok(AgentStream { sender, receiver, address, directory, is_leader: false })
             }
             Ok(Err(_)) | Err(_) => {
-                self.directory.found(address, Finding::Silent).await;
-                Err(failed)
+                self.directory.record(address, CallOutcome::Unresponsive).await;
+                Err(unreachable)
             }
         }
     }
 }
 
 impl AgentStream {
-    /// The replica at the other end.
+    /// Returns the address of the replica at the other end.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a frame; fails when the stream is gone or does not drain.
+    /// Sends a frame and returns `true` if it was queued.
+    ///
+    /// Returns `false` if the stream is closed or its queue is full.
     pub fn send(&self, frame: &AgentFrame) -> bool {
         match Envelope::try_from(frame) {
             Ok(envelope) => self.sender.try_send(envelope).is_ok(),
             Err(error) => {
-                log::error!(event = "report_not_encoded"; "{error}");
+                log::error!(
+                    event = "report_not_encoded";
+                    "the report to the leader was not sent: {error}"
+                );
                 false
             }
         }
     }
 
-    /// The next frame of the leader; nothing when the stream is over.
+    /// Returns the leader's next frame, or `None` if the stream is over.
     pub async fn receive(&mut self) -> Option<LeaderFrame> {
         let envelope = self.receiver.message().await.ok()??;
         match LeaderFrame::try_from(envelope) {
             Ok(LeaderFrame::NotLeader(hint)) => {
-                self.directory.found(self.address, Finding::Follows(hint)).await;
+                self.directory.record(self.address, CallOutcome::NotLeader(hint)).await;
                 None
             }
             Ok(frame) => {
-                if !self.led {
-                    self.led = true;
-                    self.directory.found(self.address, Finding::Leads).await;
+                if !self.is_leader {
+                    self.is_leader = true;
+                    self.directory.record(self.address, CallOutcome::Leader).await;
                 }
                 Some(frame)
             }
             Err(error) => {
-                log::error!(event = "orders_not_decoded", address:% = self.address; "{error}");
+                log::error!(
+                    event = "orders_not_decoded", address:% = self.address;
+                    "the stream to the leader is closed: {error}"
+                );
                 None
             }
         }
     }
 
-    /// Gives the replica up; the connection may be dead.
-    pub async fn give_up(self) {
-        self.directory.found(self.address, Finding::Silent).await;
+    /// Closes the stream and drops the connection to the replica, which may be dead.
+    pub async fn mark_unresponsive(self) {
+        self.directory.record(self.address, CallOutcome::Unresponsive).await;
     }
 }
 
-fn replica(channel: tonic::transport::Channel) -> QueueControlClient<tonic::transport::Channel> {
+fn replica_client(
+    channel: tonic::transport::Channel,
+) -> QueueControlClient<tonic::transport::Channel> {
     QueueControlClient::new(channel)
         .max_decoding_message_size(MESSAGE_LIMIT_BYTES)
         .max_encoding_message_size(MESSAGE_LIMIT_BYTES)
 }
 
-/// Whether the connection could not be opened, so that nothing was sent.
+/// Returns `true` if the connection could not be opened, so that nothing was sent.
 fn is_connect_failure(status: &Status) -> bool {
     let mut cause = std::error::Error::source(status);
     while let Some(error) = cause {
--- a/crates/yuccatack_queue_client/src/directory.rs
+++ b/crates/yuccatack_queue_client/src/directory.rs
@@ -1,4 +1,4 @@
-//! The task that knows the replicas and owns the connections to them.
+//! Directory task, which tracks the replicas and the leader and owns the connections to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,47 +10,46 @@
 
 use crate::protocol::LeaderHint;
 
-/// How long opening a connection may take.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// For how long a confirmed lead stands for the next call. Within it a leader may fail and leave a
-/// call without a known outcome; a confirmation costs one round trip.
-const CONFIRMED_TIME: Duration = Duration::from_millis(150);
+/// Time for which a leadership confirmation is valid for later calls. A leader that fails within it
+/// leaves calls with an unknown outcome; a shorter time costs more round trips.
+const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(150);
 
-/// How many questions may wait for the task.
+/// Number of messages that may be queued for the task.
 const QUEUE_LENGTH: usize = 64;
 
-/// Hints may name this many replicas; more than any group of voters and learners has.
-const KNOWN_LIMIT_COUNT: usize = 32;
+/// Maximum number of replicas remembered from hints; larger than any group of voters and learners.
+const HINTED_REPLICA_LIMIT_COUNT: usize = 32;
 
-/// A replica to call.
+/// Replica to call next.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     pub address: SocketAddr,
     pub channel: Channel,
-    /// Whether it has confirmed its lead a moment ago.
+    /// `true` if the replica confirmed its leadership within [`CONFIRMATION_VALIDITY`].
     pub confirmed: bool,
 }
 
-/// What became of a call to a replica.
+/// Outcome of a call to a replica, from which the directory updates its view of the leader.
 #[derive(Clone, Debug)]
-pub(crate) enum Finding {
-    /// It leads, as far as it knows.
-    Leads,
-    /// It leads, and has confirmed that with a quorum.
-    Confirmed,
-    /// It does not lead, and says who may.
-    Follows(LeaderHint),
-    /// It did not answer in time.
-    Silent,
+pub(crate) enum CallOutcome {
+    /// The replica responded as a leader, without a confirmation by a quorum.
+    Leader,
+    /// The replica leads and has confirmed that with a quorum.
+    ConfirmedLeader,
+    /// The replica does not lead and has sent a hint where the leader is.
+    NotLeader(LeaderHint),
+    /// The call failed or timed out.
+    Unresponsive,
 }
 
 enum Message {
     Next { tried: Vec<SocketAddr>, reply: oneshot::Sender<Option<Candidate>> },
-    Found(SocketAddr, Finding),
+    Record(SocketAddr, CallOutcome),
 }
 
-/// Sends to the task; clones are cheap.
+/// Handle of the directory task; clones are cheap.
 #[derive(Clone, Debug)]
 pub(crate) struct Directory {
     messages: mpsc::Sender<Message>,
@@ -58,49 +57,50 @@
 
 struct State {
     seeds: watch::Receiver<Vec<SocketAddr>>,
-    known: Vec<SocketAddr>,
+    /// Replicas that hints named, oldest first.
+    hinted: Vec<SocketAddr>,
     leader: Option<SocketAddr>,
-    /// When the leader last confirmed its lead.
+    /// Time of the leader's last confirmation of its leadership.
     confirmed_at: Option<Instant>,
     channels: FastHashMap<SocketAddr, Channel>,
 }
 
 impl Directory {
     pub fn spawn(seeds: watch::Receiver<Vec<SocketAddr>>) -> Self {
-        let (messages, waiting) = mpsc::channel(QUEUE_LENGTH);
+        let (messages, queued) = mpsc::channel(QUEUE_LENGTH);
         let state = State {
             seeds,
-            known: Vec::new(),
+            hinted: Vec::new(),
             leader: None,
             confirmed_at: None,
             channels: FastHashMap::default(),
         };
-        tokio::spawn(run(state, waiting));
+        tokio::spawn(run(state, queued));
         Self { messages }
     }
 
-    /// The replica to try next: the leader as far as it is known, then any that was not tried.
+    /// Returns the untried replica to call next: the leader if it is known, otherwise any replica.
     pub async fn next(&self, tried: &[SocketAddr]) -> Option<Candidate> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, candidate) = oneshot::channel();
         let message = Message::Next { tried: tried.to_vec(), reply };
         self.messages.send(message).await.ok()?;
-        answer.await.ok()?
+        candidate.await.ok()?
     }
 
-    pub async fn found(&self, address: SocketAddr, finding: Finding) {
-        // The task lives as long as any handle; a failure means that the runtime ends.
-        let _ = self.messages.send(Message::Found(address, finding)).await;
+    pub async fn record(&self, address: SocketAddr, outcome: CallOutcome) {
+        // The task lives as long as any handle, so sending only fails while the runtime shuts down.
+        let _ = self.messages.send(Message::Record(address, outcome)).await;
     }
 }
 
-async fn run(mut state: State, mut waiting: mpsc::Receiver<Message>) {
-    while let Some(message) = waiting.recv().await {
+async fn run(mut state: State, mut queued: mpsc::Receiver<Message>) {
+    while let Some(message) = queued.recv().await {
         match message {
             Message::Next { tried, reply } => {
-                // The caller may have given up meanwhile.
+                // The caller may have stopped waiting.
                 let _ = reply.send(state.next(&tried));
             }
-            Message::Found(address, finding) => state.found(address, finding),
+            Message::Record(address, outcome) => state.record(address, outcome),
         }
     }
 }
@@ -110,51 +110,57 @@
         let seeds = self.seeds.borrow().clone();
         let untried = |address: &&SocketAddr| !tried.contains(address);
         let mut others: Vec<SocketAddr> =
-            self.known.iter().chain(&seeds).filter(untried).copied().collect();
+            self.hinted.iter().chain(&seeds).filter(untried).copied().collect();
         if !others.is_empty() {
-            // Spreads the load of nodes that all look for the leader at the same time.
+            // Spreads the load of nodes that all search for the leader at the same time.
             let first = rand::random_range(0..others.len());
             others.rotate_left(first);
         }
         let address = self.leader.as_ref().filter(untried).copied();
         let address = address.or_else(|| others.first().copied())?;
-        let channel = self.channels.entry(address).or_insert_with(|| open(address));
-        let fresh = self.confirmed_at.is_some_and(|at| at.elapsed() <= CONFIRMED_TIME);
-        let confirmed = fresh && self.leader == Some(address);
+        let channel = self.channels.entry(address).or_insert_with(|| open_channel(address));
+        let is_recent = self.confirmed_at.is_some_and(|at| at.elapsed() <= CONFIRMATION_VALIDITY);
+        let confirmed = is_recent && self.leader == Some(address);
         Some(Candidate { address, channel: channel.clone(), confirmed })
     }
 
     fn set_leader(&mut self, address: SocketAddr) {
         if self.leader != Some(address) {
-            log::info!(event = "leader_found", address:% = address; "the leader answers");
+            log::info!(
+                event = "leader_found", address:% = address;
+                "found the leader; calls go to this replica"
+            );
             self.leader = Some(address);
             self.confirmed_at = None;
         }
     }
 
-    fn found(&mut self, address: SocketAddr, finding: Finding) {
-        match finding {
-            Finding::Leads => self.set_leader(address),
-            Finding::Confirmed => {
+    fn record(&mut self, address: SocketAddr, outcome: CallOutcome) {
+        match outcome {
+            CallOutcome::Leader => self.set_leader(address),
+            CallOutcome::ConfirmedLeader => {
                 self.set_leader(address);
                 self.confirmed_at = Some(Instant::now());
             }
-            Finding::Follows(hint) => {
+            CallOutcome::NotLeader(hint) => {
                 self.leader = hint.leader.filter(|leader| *leader != address);
                 self.confirmed_at = None;
-                for member in hint.members.into_iter().take(KNOWN_LIMIT_COUNT) {
-                    if !self.known.contains(&member) {
-                        self.known.push(member);
+                for member in hint.members.into_iter().take(HINTED_REPLICA_LIMIT_COUNT) {
+                    if !self.hinted.contains(&member) {
+                        self.hinted.push(member);
                     }
                 }
-                let excess = self.known.len().saturating_sub(KNOWN_LIMIT_COUNT);
-                self.known.drain(..excess);
+                let excess = self.hinted.len().saturating_sub(HINTED_REPLICA_LIMIT_COUNT);
+                self.hinted.drain(..excess);
             }
-            Finding::Silent => {
-                // The connection may be dead for good while a new one works.
+            CallOutcome::Unresponsive => {
+                // The connection may be dead although the replica is up, so it is opened again.
                 self.channels.remove(&address);
                 if self.leader == Some(address) {
-                    log::warn!(event = "leader_silent", address:% = address; "the leader is silent");
+                    log::warn!(
+                        event = "leader_silent", address:% = address;
+                        "the leader does not respond; searching for another one"
+                    );
                     self.leader = None;
                 }
             }
@@ -162,9 +168,9 @@
     }
 }
 
-fn open(address: SocketAddr) -> Channel {
-    // An address always makes a valid URI.
+fn open_channel(address: SocketAddr) -> Channel {
+    // A socket address always forms a valid URI.
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .unwrap_or_else(|_| Endpoint::from_static("http://0.0.0.0:0"));
-    endpoint.connect_timeout(CONNECT_LIMIT).tcp_nodelay(true).connect_lazy()
+    endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true).connect_lazy()
 }
--- a/crates/yuccatack_queue_client/src/error.rs
+++ b/crates/yuccatack_queue_client/src/error.rs
@@ -1,17 +1,17 @@
-//! Why a call has no answer of the leader.
+//! Errors of calls to the leader.
 
 use snafu::Snafu;
 
-/// A call without an answer of the leader.
+/// Failure of a call to get a response of the leader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum CallError {
-    /// Nothing was done.
-    #[snafu(display("no leader answered in time, and nothing was done; try again later"))]
+    /// No leader responded in time, and the call has not taken effect.
+    #[snafu(display("no leader responded in time, and the call had no effect; try again later"))]
     NotDone,
-    /// Something may have been done.
-    #[snafu(display("the answer was lost, and the call may take effect; repeat it unchanged"))]
+    /// The response was lost, and the call may have taken effect or may do so later.
+    #[snafu(display("the response was lost, and the call may take effect; repeat it unchanged"))]
     Unknown,
-    /// The client's task has ended.
+    /// The directory task of the client has ended.
     #[snafu(display("the client has stopped; start the process again"))]
     Stopped,
 }
--- a/crates/yuccatack_queue_client/src/lib.rs
+++ b/crates/yuccatack_queue_client/src/lib.rs
@@ -1,7 +1,7 @@
-//! Calls to the queue control leader.
+//! Client of the queue control leader.
 //!
-//! [`QueueClient`] finds the leader, follows its hints and says for each failed call whether it may
-//! have had an effect. [`protocol`] holds the messages, which agents exchange with the leader too.
+//! [`QueueClient`] finds the leader, follows hints to it and reports for each failed call whether
+//! it may have taken effect. [`protocol`] defines the messages of calls and of the agents' streams.
 
 mod backoff;
 mod client;
@@ -22,7 +22,7 @@
 /// Generated wire types and services; regenerate with `cargo run --package codegen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic, rustdoc::all)]
 pub mod generated {
-    /// The `queue_control` protocol.
+    /// Messages and service of `queue_control.proto`.
     #[path = "yuccatack.queue_control.v1.rs"]
     pub mod queue_control;
 }
--- a/crates/yuccatack_queue_client/src/protocol.rs
+++ b/crates/yuccatack_queue_client/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The messages of calls and of agents' streams.
+//! Messages of calls and of agents' streams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,43 +9,45 @@
 use yuccatack_queues::{Acceptance, AccessError, AccessKey, Configuration};
 use yuccatack_runs::{JobPhase, JobSpec};
 
-/// Which queue, and which job of it, a caller addresses.
+/// Queue, and optionally a job in it, that a caller addresses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallTarget {
-    /// The host.
+    /// Host name of the caller's request, which selects the queue together with the path.
     pub host: Arc<str>,
-    /// The prefix of the queue, and the name of the job unless the queue itself is meant.
+    /// Path prefix of the queue, followed by the name of the job unless the queue itself is
+    /// addressed.
     pub path: Arc<str>,
-    /// What proves the caller's organisation.
+    /// Access key of the caller's organisation, if the caller sent one.
     pub key: Option<AccessKey>,
 }
 
-/// What a caller, an operator or a replica asks the leader.
+/// Request of a caller, an operator or a replica to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// Store a job.
+    /// Stores a job.
     Submit(CallTarget, Box<JobSpec>),
-    /// Tell the state of a job, or how many jobs of a queue wait.
+    /// Reads the phase of a job, or the number of waiting jobs of a queue.
     Read(CallTarget),
-    /// Let a job begin no more work.
+    /// Cancels a job, which then starts no more runs.
     Cancel(CallTarget),
-    /// Put a configuration in force.
+    /// Puts a configuration in force unless a newer one is.
     Configure(Arc<Configuration>),
-    /// Tell the configuration in force.
+    /// Reads the document of the configuration in force.
     ReadConfiguration,
-    /// Make a replica with an empty data folder a member.
+    /// Makes a replica a member of the replication group.
     Join {
-        /// The number of the new replica.
+        /// ID of the joining replica.
         replica_id: u64,
-        /// Where it answers.
+        /// Address at which the other replicas reach it.
         address: SocketAddr,
     },
-    /// Tell whether there is a leader.
+    /// Checks that a leader responds.
     Ping,
 }
 
 impl Request {
-    /// Whether the request changes anything, so that one without an answer may have taken effect.
+    /// Returns `true` if the request changes state, so that one whose response is lost may have
+    /// taken effect.
     pub const fn has_effects(&self) -> bool {
         match self {
             Self::Submit(..) | Self::Cancel(_) | Self::Configure(_) | Self::Join { .. } => true,
@@ -54,70 +56,70 @@
     }
 }
 
-/// What the leader answers.
+/// Response to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Response {
     /// The job is stored.
     Accepted,
-    /// The state of the job.
+    /// Phase of the job.
     Job(JobPhase),
-    /// How many jobs of the queue wait.
+    /// Number of waiting jobs of the queue.
     Waiting(u64),
-    /// The job begins no more work, or had ended before.
+    /// The job starts no more runs, or had already ended.
     Cancelled,
-    /// What became of a configuration.
+    /// Outcome of submitting a configuration.
     Configured(Acceptance),
-    /// The document of the configuration in force.
+    /// Document of the configuration in force; `None` before the first one.
     Configuration(Option<Arc<str>>),
-    /// The replica is a member, or becomes one.
+    /// The leader has received the join request; the replica is a member or becomes one.
     Joined,
-    /// There is a leader.
+    /// Response to a ping, which only a leader sends.
     Pong,
-    /// The caller may not do this.
+    /// The caller has no access to the queue.
     Denied(AccessError),
-    /// No such job is stored.
+    /// No job of this name is stored.
     NoSuchJob,
-    /// The request makes no sense.
+    /// The request is invalid for the given reason.
     Invalid(Arc<str>),
-    /// Nothing was done; worth a retry after this time.
+    /// The request had no effect for lack of capacity and can be retried.
     Busy {
-        /// When to come back.
+        /// Delay after which a retry may succeed.
         retry_after_ms: DurationMs,
     },
-    /// Nothing was done, because this replica does not lead.
+    /// The request had no effect, because this replica does not lead.
     NotLeader(LeaderHint),
-    /// The lead was lost in the meantime; the request may or may not take effect.
+    /// The replica lost the leadership meanwhile; the request may or may not take effect.
     Unknown,
 }
 
-/// Where the leader may be found.
+/// Addresses at which to search for the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaderHint {
-    /// The leader, if known.
+    /// Address of the leader; `None` if the replica knows of none.
     pub leader: Option<SocketAddr>,
-    /// All members, as the replica knows them.
+    /// Addresses of all voters and learners that the replica knows.
     pub members: Vec<SocketAddr>,
 }
 
-/// What an agent sends on its stream.
+/// Frame from an agent to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentFrame {
-    /// The first frame: which node's agent this is.
+    /// First frame of a stream; names the agent's node.
     Hello(NodeName),
-    /// A report.
+    /// Report about the agent's worker.
     Report(AgentMessage),
 }
 
-/// What the leader sends on an agent's stream.
+/// Frame from the leader to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaderFrame {
-    /// The leader takes reports; repeated, so that an agent notices a dead connection.
+    /// Heartbeat of a leader, repeated so that an agent detects a dead connection.
     Leading {
-        /// The leader's fencing token.
+        /// Fencing token of the leader; higher than that of every earlier leader.
         token: u64,
     },
-    /// Orders for the worker.
+    /// Orders for the agent's worker.
     Orders(Orders),
-    /// This replica does not lead, or not any more; the stream ends.
+    /// Last frame of a replica that does not lead or has lost the leadership.
     NotLeader(LeaderHint),
 }
--- a/crates/yuccatack_queue_client/src/wire.rs
+++ b/crates/yuccatack_queue_client/src/wire.rs
@@ -1,4 +1,4 @@
-//! Encoding of the typed messages.
+//! Conversion between typed messages and gRPC envelopes.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -7,19 +7,19 @@
 use crate::generated::queue_control::Envelope;
 use crate::protocol::{AgentFrame, LeaderFrame, Request, Response};
 
-/// A message that has no wire form, or bytes that are no message.
+/// Failure to encode or decode a message.
 #[derive(Debug, Snafu)]
 pub enum WireError {
-    /// Encoding failed.
+    /// The message has no MessagePack encoding.
     #[snafu(display("cannot encode the message: {source}; report this as a fault"))]
     Encode {
-        /// What the encoder said.
+        /// Error of the MessagePack encoder.
         source: rmp_serde::encode::Error,
     },
-    /// Decoding failed.
+    /// The received bytes are not a message of the expected type.
     #[snafu(display("cannot decode the message: {source}; run compatible versions on all nodes"))]
     Decode {
-        /// What the decoder said.
+        /// Error of the MessagePack decoder.
         source: rmp_serde::decode::Error,
     },
 }
@@ -39,7 +39,7 @@
     rmp_serde::from_slice(&envelope.body).context(DecodeSnafu)
 }
 
-macro_rules! wire_form {
+macro_rules! impl_envelope_conversions {
     ($($message:ty),* $(,)?) => {$(
         impl TryFrom<&$message> for Envelope {
             type Error = WireError;
@@ -59,4 +59,4 @@
     )*};
 }
 
-wire_form!(Request, Response, AgentFrame, LeaderFrame);
+impl_envelope_conversions!(Request, Response, AgentFrame, LeaderFrame);
--- a/crates/yuccatack_queue_client/tests/silent_leader.rs
+++ b/crates/yuccatack_queue_client/tests/silent_leader.rs
@@ -1,5 +1,5 @@
-//! Guards against requests that are sent to a replica which cannot carry them out, so that their
-//! callers never learn whether they took effect.
+//! Guards against requests with effects that are sent to a leader which no longer responds, so that
+//! their callers never learn whether they took effect.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -21,21 +21,20 @@
 use yuccatack_queue_client::protocol::{self, CallTarget};
 use yuccatack_queue_client::{CallError, QueueClient};
 
-/// How long the calls of these tests are tried.
-const LIMIT: Duration = Duration::from_millis(1_300);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// A replica that answers until it is told to fall silent, and tells what arrives.
+/// Replica that responds until `unresponsive` is set, and passes every request on to the test.
 struct Replica {
-    arrived: mpsc::UnboundedSender<protocol::Request>,
-    silent: watch::Receiver<bool>,
+    received: mpsc::UnboundedSender<protocol::Request>,
+    unresponsive: watch::Receiver<bool>,
 }
 
 #[tonic::async_trait]
 impl QueueControl for Replica {
     async fn call(&self, request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
         let request = protocol::Request::try_from(request.into_inner()).unwrap();
-        self.arrived.send(request).unwrap();
-        if *self.silent.borrow() {
+        self.received.send(request).unwrap();
+        if *self.unresponsive.borrow() {
             return std::future::pending().await;
         }
         Ok(Response::new(Envelope::try_from(&protocol::Response::Pong).unwrap()))
@@ -51,61 +50,65 @@
     }
 }
 
-type Arrived = mpsc::UnboundedReceiver<protocol::Request>;
+type ReceivedRequests = mpsc::UnboundedReceiver<protocol::Request>;
 
-async fn replica() -> (QueueClient, watch::Sender<bool>, Arrived) {
+async fn start_replica() -> (QueueClient, watch::Sender<bool>, ReceivedRequests) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (_, seeds) = watch::channel(vec![listener.local_addr().unwrap()]);
-    let (arrived, requests) = mpsc::unbounded_channel();
-    let (silence, silent) = watch::channel(false);
-    let replica = Replica { arrived, silent };
+    let (received, requests) = mpsc::unbounded_channel();
+    let (make_unresponsive, unresponsive) = watch::channel(false);
+    let replica = Replica { received, unresponsive };
     let server = Server::builder().add_service(QueueControlServer::new(replica));
     tokio::spawn(server.serve_with_incoming(TcpIncoming::from(listener)));
-    (QueueClient::new(seeds), silence, requests)
+    (QueueClient::new(seeds), make_unresponsive, requests)
 }
 
 fn target() -> CallTarget {
     CallTarget { host: "host".into(), path: "/queue/job".into(), key: None }
 }
 
-fn counted<Counts>(arrived: &mut Arrived, counts: Counts) -> usize
+fn count_received<Predicate>(received: &mut ReceivedRequests, matches: Predicate) -> usize
 where
-    Counts: Fn(&protocol::Request) -> bool,
+    Predicate: Fn(&protocol::Request) -> bool,
 {
-    std::iter::from_fn(|| arrived.try_recv().ok()).filter(|request| counts(request)).count()
+    std::iter::from_fn(|| received.try_recv().ok()).filter(|request| matches(request)).count()
 }
 
 #[tokio::test]
-async fn unconfirmed_not_asked() {
-    let (client, silence, mut arrived) = replica().await;
+async fn unconfirmed_leader_skipped() {
+    let (client, make_unresponsive, mut received) = start_replica().await;
     let cancel = protocol::Request::Cancel(target());
-    assert!(client.call(&cancel, LIMIT).await.is_ok());
-    silence.send(true).unwrap();
-    // Longer than a confirmed lead stands.
+    assert!(client.call(&cancel, CALL_TIMEOUT).await.is_ok());
+    make_unresponsive.send(true).unwrap();
+    // Longer than a leadership confirmation is valid.
     sleep(Duration::from_millis(300)).await;
-    counted(&mut arrived, |_| true);
-    assert_eq!(client.call(&cancel, LIMIT).await, Err(CallError::NotDone));
-    let cancels = counted(&mut arrived, |request| request.has_effects());
-    assert_eq!(cancels, 0, "a silent replica got a request with effects");
+    count_received(&mut received, |_| true);
+    assert_eq!(client.call(&cancel, CALL_TIMEOUT).await, Err(CallError::NotDone));
+    let cancels = count_received(&mut received, |request| request.has_effects());
+    assert_eq!(cancels, 0, "a replica without a valid confirmation got a request with effects");
 }
 
 #[tokio::test]
 async fn read_without_effect() {
-    let (client, silence, _arrived) = replica().await;
+    let (client, make_unresponsive, _received) = start_replica().await;
     let read = protocol::Request::Read(target());
-    assert!(client.call(&read, LIMIT).await.is_ok());
-    silence.send(true).unwrap();
-    assert_eq!(client.call(&read, LIMIT).await, Err(CallError::NotDone), "a read has no effect");
+    assert!(client.call(&read, CALL_TIMEOUT).await.is_ok());
+    make_unresponsive.send(true).unwrap();
+    assert_eq!(
+        client.call(&read, CALL_TIMEOUT).await,
+        Err(CallError::NotDone),
+        "a read without a response was reported as a possible effect"
+    );
 }
 
 #[tokio::test]
-async fn lost_answer_told() {
-    let (client, silence, mut arrived) = replica().await;
+async fn lost_response_reported() {
+    let (client, make_unresponsive, mut received) = start_replica().await;
     let join =
         protocol::Request::Join { replica_id: 1, address: SocketAddr::from(([127, 0, 0, 1], 1)) };
-    assert!(client.call(&join, LIMIT).await.is_ok());
-    silence.send(true).unwrap();
-    // The lead was confirmed a moment ago, so that the request is sent and its answer is lost.
-    assert_eq!(client.call(&join, LIMIT).await, Err(CallError::Unknown));
-    assert!(counted(&mut arrived, |request| request.has_effects()) >= 2);
+    assert!(client.call(&join, CALL_TIMEOUT).await.is_ok());
+    make_unresponsive.send(true).unwrap();
+    // The leadership confirmation is still valid, so the request is sent and its response is lost.
+    assert_eq!(client.call(&join, CALL_TIMEOUT).await, Err(CallError::Unknown));
+    assert!(count_received(&mut received, |request| request.has_effects()) >= 2);
 }
--- a/crates/yuccatack_worker_agent/src/agent.rs
+++ b/crates/yuccatack_worker_agent/src/agent.rs
@@ -142,7 +142,7 @@
         if self.stream.is_some() && self.heard_at.elapsed() > LEADER_SILENCE_LIMIT {
             log::warn!(event = "leader_lost", reason = "silent"; "the leader is silent; attaching anew");
             if let Some(stream) = self.stream.take() {
-                stream.give_up().await;
+                stream.mark_unresponsive().await;
             }
         }
         if self.stream.is_none() && !self.attaching && Instant::now() >= self.attach_after {
