--- a/crates/yuccatack_worker_agent/src/agent.rs
+++ b/crates/yuccatack_worker_agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The task of the agent.
+//! Agent task, which attaches to the leader and carries out its orders on the worker.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,86 +13,96 @@
 use yuccatack_queue_client::{AgentStream, Backoff, QueueClient};
 use yuccatack_runs::{RunId, WorkerIncarnation};
 
-use crate::orders::{OrderBook, StartAction};
+use crate::orders::{OrderTracker, StartAction};
 use crate::port::{
     Announcement, PollCall, PollResponse, PollResult, StartCall, StopCall, StopResult, WorkerPort,
 };
 
-/// How often the agent looks for a silent leader and for a look at the worker that is due.
+/// Interval at which the agent checks for an unresponsive leader and for a due attachment or poll.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A leader shows itself every 250 ms; after three misses the connection counts as dead. The next
-/// leader is elected in about that time.
-const LEADER_SILENCE_LIMIT: Duration = Duration::from_millis(900);
+/// Time without a frame after which the connection to the leader counts as dead. A leader sends a
+/// heartbeat every 250 ms, so three are missing by then; electing the next leader takes about as
+/// long.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long the worker waits for an end before it answers. New leases and confirmed stops wait for
-/// the next look, so this stays well below the stop limit.
-const HOLD_WAIT: DurationMs = DurationMs::new(250);
+/// Time that the worker may wait for a run to end before it responds to a poll. New leases and
+/// confirmed stops wait for the next poll, so it must stay well below the time limit of a stop.
+const POLL_WAIT: DurationMs = DurationMs::new(250);
 
-/// The pause after a look that listed ends which the leader has not stored yet. The worker answers
-/// the next look at once while it lists any, so that looks without a pause would keep both busy.
-const LISTED_ENDS_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a poll that listed ends which the leader has not stored yet. While the worker lists
+/// any, it responds to the next poll at once, so polls without a delay would form a busy loop.
+const UNACKNOWLEDGED_ENDS_DELAY: Duration = Duration::from_millis(150);
 
-/// The pause after a look that failed.
-const HOLD_RETRY: Duration = Duration::from_millis(200);
+/// Delay after a failed poll.
+const POLL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The pause after all replicas were tried, at first and at most. The longest one bounds how late an
-/// agent finds a new leader; leases outlast it several times.
-const FIRST_ATTACH_DELAY: Duration = Duration::from_millis(60);
-const LONGEST_ATTACH_DELAY: Duration = Duration::from_millis(500);
+/// Initial delay after all replicas were tried.
+const INITIAL_ATTACH_DELAY: Duration = Duration::from_millis(60);
 
-/// How many finished calls may wait for the agent.
+/// Longest delay after all replicas were tried. It bounds the time in which an agent finds a new
+/// leader; leases last several times as long.
+const MAX_ATTACH_DELAY: Duration = Duration::from_millis(500);
+
+/// Number of results of calls that may be queued for the agent.
 const EVENT_QUEUE_LENGTH: usize = 256;
 
-/// Who the agent is.
+/// Configuration of an [`Agent`].
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
-    /// The node, which stays the same over all incarnations of its worker.
+    /// Name of the node, which is the same for all incarnations of its worker.
     pub node: NodeName,
 }
 
-/// What a call to the worker or the leader ended with.
+/// Result of a call to the worker or the leader.
 enum Event {
     Attached(Result<AgentStream, Option<SocketAddr>>),
     Started(WorkerIncarnation, RunId, StartResult),
     Stopped(WorkerIncarnation, RunId, StopResult),
-    Held { incarnation: WorkerIncarnation, stopped: Vec<RunId>, result: PollResult },
+    /// `stopped` lists the runs whose stop was confirmed before the poll began.
+    Polled {
+        incarnation: WorkerIncarnation,
+        stopped: Vec<RunId>,
+        result: PollResult,
+    },
 }
 
-/// The agent of one worker.
+/// Agent of one worker.
 pub struct Agent<Port> {
     config: AgentConfig,
     port: Arc<Port>,
     client: QueueClient,
     events: mpsc::Sender<Event>,
     stream: Option<AgentStream>,
-    heard_at: Instant,
-    attaching: bool,
-    attach_after: Instant,
+    last_frame_at: Instant,
+    attach_in_flight: bool,
+    next_attach_at: Instant,
     backoff: Backoff,
+    /// Replicas tried since the last contact with a leader or since the last backoff delay.
     tried: Vec<SocketAddr>,
+    /// Highest fencing token of a leader received so far.
     token: Option<u64>,
     worker: Option<WorkerState>,
-    /// The number of the newest announcement of the present incarnation.
+    /// Number of the newest announcement of the current incarnation.
     sequence: u64,
-    /// Whether the last look at the present incarnation failed.
-    hold_failed: bool,
-    holding: bool,
-    hold_after: Instant,
-    /// The renewed lease, by the worker's clock.
+    /// `true` if the last poll of the current incarnation failed.
+    last_poll_failed: bool,
+    poll_in_flight: bool,
+    next_poll_at: Instant,
+    /// End of the lease granted by the leader, by the worker's clock.
     lease_until_clock_ms: Option<u64>,
-    /// Ends up to this number are stored by the leader.
+    /// Number of the last run end that the leader has stored.
     acknowledged_end: u64,
-    /// The last end that the worker listed.
+    /// Number of the last run end in the worker's latest response.
     listed_end: u64,
-    orders: OrderBook,
+    orders: OrderTracker,
 }
 
 impl<Port> Agent<Port>
 where
     Port: WorkerPort,
 {
-    /// Runs until the shutdown. What runs on the worker goes on under its lease.
+    /// Runs the agent until shutdown. Runs on the worker continue until its lease expires.
     pub async fn run(
         config: AgentConfig,
         port: Port,
@@ -100,7 +110,7 @@
         mut announcements: mpsc::Receiver<Announcement>,
         mut shutdown: Shutdown,
     ) {
-        let (events, mut finished) = mpsc::channel(EVENT_QUEUE_LENGTH);
+        let (events, mut results) = mpsc::channel(EVENT_QUEUE_LENGTH);
         let now = Instant::now();
         let mut agent = Self {
             config,
@@ -108,50 +118,54 @@
             client,
             events,
             stream: None,
-            heard_at: now,
-            attaching: false,
-            attach_after: now,
-            backoff: Backoff::new(FIRST_ATTACH_DELAY, LONGEST_ATTACH_DELAY),
+            last_frame_at: now,
+            attach_in_flight: false,
+            next_attach_at: now,
+            backoff: Backoff::new(INITIAL_ATTACH_DELAY, MAX_ATTACH_DELAY),
             tried: Vec::new(),
             token: None,
             worker: None,
             sequence: 0,
-            hold_failed: false,
-            holding: false,
-            hold_after: now,
+            last_poll_failed: false,
+            poll_in_flight: false,
+            next_poll_at: now,
             lease_until_clock_ms: None,
             acknowledged_end: 0,
             listed_end: 0,
-            orders: OrderBook::default(),
+            orders: OrderTracker::default(),
         };
         let mut checks = interval(CHECK_INTERVAL);
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 () = shutdown.wait_for(ShutdownPhase::Draining) => return,
-                Some(event) = finished.recv() => agent.on_event(event),
+                Some(event) = results.recv() => agent.on_event(event),
                 Some(announcement) = announcements.recv() => agent.on_announcement(announcement),
-                frame = receive(&mut agent.stream) => agent.on_frame(frame),
+                frame = receive_frame(&mut agent.stream) => agent.on_frame(frame),
                 _ = checks.tick() => agent.check().await,
             }
-            agent.hold_if_due();
+            agent.poll_if_due();
         }
     }
 
     async fn check(&mut self) {
-        if self.stream.is_some() && self.heard_at.elapsed() > LEADER_SILENCE_LIMIT {
-            log::warn!(event = "leader_lost", reason = "silent"; "the leader is silent; attaching anew");
+        if self.stream.is_some() && self.last_frame_at.elapsed() > LEADER_TIMEOUT {
+            log::warn!(
+                event = "leader_lost", reason = "silent";
+                "the leader stopped sending frames; attaching again"
+            );
             if let Some(stream) = self.stream.take() {
                 stream.mark_unresponsive().await;
             }
         }
-        if self.stream.is_none() && !self.attaching && Instant::now() >= self.attach_after {
-            self.attaching = true;
+        if self.stream.is_none() && !self.attach_in_flight && Instant::now() >= self.next_attach_at
+        {
+            self.attach_in_flight = true;
             let (client, events) = (self.client.clone(), self.events.clone());
             let (tried, hello) = (self.tried.clone(), AgentFrame::Hello(self.config.node.clone()));
             tokio::spawn(async move {
                 let result = client.attach(&tried, &hello).await;
-                // The agent may have ended.
+                // The agent may have shut down.
                 let _ = events.send(Event::Attached(result)).await;
             });
         }
@@ -171,39 +185,42 @@
                     self.orders.on_stop_result(&run, result == StopResult::Confirmed);
                 }
             }
-            Event::Held { incarnation, stopped, result } => {
-                self.on_held(&incarnation, stopped, result)
+            Event::Polled { incarnation, stopped, result } => {
+                self.on_polled(&incarnation, stopped, result)
             }
         }
     }
 
     fn on_attached(&mut self, result: Result<AgentStream, Option<SocketAddr>>) {
-        self.attaching = false;
+        self.attach_in_flight = false;
         match result {
             Ok(stream) => {
                 self.tried.push(stream.address());
                 self.stream = Some(stream);
-                self.heard_at = Instant::now();
+                self.last_frame_at = Instant::now();
                 if let Some(worker) = self.worker.clone() {
                     self.report(AgentMessage::State(worker));
                 }
             }
             Err(Some(address)) => self.tried.push(address),
-            // All known replicas were tried.
+            // All known replicas have been tried.
             Err(None) => {
                 self.tried.clear();
-                self.attach_after = Instant::now() + self.backoff.delay();
+                self.next_attach_at = Instant::now() + self.backoff.delay();
             }
         }
     }
 
     fn on_frame(&mut self, frame: Option<LeaderFrame>) {
-        self.heard_at = Instant::now();
+        self.last_frame_at = Instant::now();
         match frame {
             None | Some(LeaderFrame::NotLeader(_)) => self.stream = None,
             Some(LeaderFrame::Leading { token }) => {
-                if self.token.is_none_or(|held| token > held) {
-                    log::info!(event = "leader_attached", token = token; "a leader takes reports");
+                if self.token.is_none_or(|newest| token > newest) {
+                    log::info!(
+                        event = "leader_attached", token = token;
+                        "attached to a leader with a higher token"
+                    );
                     self.token = Some(token);
                 }
                 self.tried.clear();
@@ -214,11 +231,11 @@
     }
 
     fn on_orders(&mut self, orders: Orders) {
-        let outdated = self.token.is_some_and(|held| orders.token < held);
-        if outdated || !self.is_current(&orders.incarnation) {
+        let is_outdated = self.token.is_some_and(|newest| orders.token < newest);
+        if is_outdated || !self.is_current(&orders.incarnation) {
             log::warn!(
                 event = "orders_dropped", token = orders.token, life:% = orders.incarnation;
-                "the orders are of an earlier leader or for another incarnation of the worker"
+                "dropped orders of an earlier leader or for another incarnation of the worker"
             );
             return;
         }
@@ -235,21 +252,21 @@
         }
     }
 
-    /// Takes note that ends are stored; the worker can forget them at the next look.
+    /// Records that the leader has stored ends, which the worker can discard at the next poll.
     fn acknowledge_ends(&mut self, acknowledged_end: u64) {
         if acknowledged_end <= self.acknowledged_end {
             return;
         }
         self.acknowledged_end = acknowledged_end;
-        if acknowledged_end >= self.listed_end && !self.hold_failed {
-            self.hold_after = Instant::now();
+        if acknowledged_end >= self.listed_end && !self.last_poll_failed {
+            self.next_poll_at = Instant::now();
         }
     }
 
     fn start(&mut self, incarnation: &WorkerIncarnation, token: u64, order: StartOrder) {
         let StartOrder { run, payload, until_clock_ms, checkpoint } = order;
         match self.orders.on_start_order(&run) {
-            StartAction::Wait => {}
+            StartAction::AwaitResult => {}
             StartAction::Report(result) => {
                 self.report(AgentMessage::Start(run, result));
             }
@@ -270,7 +287,10 @@
                 };
                 tokio::spawn(async move {
                     let result = port.start(call).await;
-                    log::info!(event = "start_carried_out", run:% = run, result:? = result; "a start ended");
+                    log::info!(
+                        event = "start_carried_out", run:% = run, result:? = result;
+                        "the call that starts a run has completed"
+                    );
                     let _ = events.send(Event::Started(incarnation, run, result)).await;
                 });
             }
@@ -286,7 +306,10 @@
         let call = StopCall { incarnation: incarnation.clone(), token, run: run.clone() };
         tokio::spawn(async move {
             let result = port.stop(call).await;
-            log::info!(event = "stop_carried_out", run:% = run, result:? = result; "a stop ended");
+            log::info!(
+                event = "stop_carried_out", run:% = run, result:? = result;
+                "the call that stops a run has completed"
+            );
             let _ = events.send(Event::Stopped(incarnation, run, result)).await;
         });
     }
@@ -299,9 +322,9 @@
                 if let Some(worker) = left {
                     log::info!(
                         event = "worker_departed", life:% = worker.incarnation;
-                        "the worker has left"
+                        "the worker shuts down and gets no more orders"
                     );
-                    self.forget_life();
+                    self.reset_incarnation();
                     self.report(AgentMessage::Left(worker.incarnation));
                 }
             }
@@ -309,7 +332,7 @@
     }
 
     fn on_present(&mut self, state: WorkerState, sequence: u64) {
-        let newer = match &self.worker {
+        let replaces_current = match &self.worker {
             Some(worker) if worker.incarnation == state.incarnation => {
                 if sequence > self.sequence && *worker != state {
                     self.worker = Some(state.clone());
@@ -318,79 +341,79 @@
                 self.sequence = self.sequence.max(sequence);
                 return;
             }
-            // An announcement of an earlier incarnation may arrive late. The time of day can go back,
-            // so an incarnation that does not answer any more gives way as well.
+            // A late announcement of an earlier incarnation must not replace a later one. The wall
+            // clock can go back, so an incarnation whose last poll failed is replaced in any case.
             Some(worker) => {
                 state.incarnation.started_at_unix_ms > worker.incarnation.started_at_unix_ms
-                    || self.hold_failed
+                    || self.last_poll_failed
             }
             None => true,
         };
-        if newer {
+        if replaces_current {
             log::info!(
                 event = "worker_found", life:% = state.incarnation;
-                "a worker announced itself"
+                "a new incarnation of the worker announced itself"
             );
-            self.forget_life();
+            self.reset_incarnation();
             self.sequence = sequence;
             self.worker = Some(state.clone());
             self.report(AgentMessage::State(state));
         }
     }
 
-    fn forget_life(&mut self) {
+    fn reset_incarnation(&mut self) {
         self.lease_until_clock_ms = None;
         self.acknowledged_end = 0;
         self.listed_end = 0;
-        self.orders = OrderBook::default();
-        self.hold_failed = false;
+        self.orders = OrderTracker::default();
+        self.last_poll_failed = false;
     }
 
-    fn hold_if_due(&mut self) {
+    fn poll_if_due(&mut self) {
         let (Some(worker), Some(token)) = (&self.worker, self.token) else { return };
-        if self.holding || Instant::now() < self.hold_after {
+        if self.poll_in_flight || Instant::now() < self.next_poll_at {
             return;
         }
-        self.holding = true;
+        self.poll_in_flight = true;
         let incarnation = worker.incarnation.clone();
         let call = PollCall {
             incarnation: incarnation.clone(),
             token,
             until_clock_ms: self.lease_until_clock_ms,
             acknowledged_end: self.acknowledged_end,
-            wait_ms: HOLD_WAIT,
+            wait_ms: POLL_WAIT,
         };
-        let stopped = self.orders.stopped();
+        let stopped = self.orders.confirmed_stops();
         let (port, events) = (self.port.clone(), self.events.clone());
         tokio::spawn(async move {
             let result = port.poll(call).await;
-            let _ = events.send(Event::Held { incarnation, stopped, result }).await;
+            let _ = events.send(Event::Polled { incarnation, stopped, result }).await;
         });
     }
 
-    fn on_held(
+    fn on_polled(
         &mut self,
         incarnation: &WorkerIncarnation,
         stopped: Vec<RunId>,
         result: PollResult,
     ) {
-        self.holding = false;
+        self.poll_in_flight = false;
         if !self.is_current(incarnation) {
             return;
         }
         match result {
-            PollResult::Answered(seen) if is_life(&seen, incarnation) => {
-                self.hold_failed = false;
-                self.listed_end = seen.ended.iter().map(|end| end.number).max().unwrap_or(0);
+            PollResult::Answered(response) if is_from_incarnation(&response, incarnation) => {
+                self.last_poll_failed = false;
+                self.listed_end = response.ended.iter().map(|end| end.number).max().unwrap_or(0);
                 if self.listed_end > self.acknowledged_end {
-                    self.hold_after = Instant::now() + LISTED_ENDS_PAUSE;
+                    self.next_poll_at = Instant::now() + UNACKNOWLEDGED_ENDS_DELAY;
                 }
-                let ended: Vec<RunId> = seen.ended.iter().map(|end| end.run.clone()).collect();
+                let ended: Vec<RunId> = response.ended.iter().map(|end| end.run.clone()).collect();
                 let observation = Observation {
                     incarnation: incarnation.clone(),
-                    clock_ms: seen.clock_ms,
-                    running: seen.running,
-                    ended: seen.ended,
+                    clock_ms: response.clock_ms,
+                    running: response.running,
+                    ended: response.ended,
                     stopped: stopped.clone(),
                 };
                 if self.report(AgentMessage::Observed(observation)) {
@@ -398,14 +421,14 @@
                 }
             }
             PollResult::Answered(_) | PollResult::OtherIncarnation | PollResult::Failed => {
-                if !self.hold_failed {
+                if !self.last_poll_failed {
                     log::warn!(
                         event = "worker_silent", life:% = incarnation;
-                        "the worker did not answer"
+                        "polling the worker failed; no run is reported until a retry succeeds"
                     );
                 }
-                self.hold_failed = true;
-                self.hold_after = Instant::now() + HOLD_RETRY;
+                self.last_poll_failed = true;
+                self.next_poll_at = Instant::now() + POLL_RETRY_DELAY;
             }
         }
     }
@@ -414,23 +437,28 @@
         self.worker.as_ref().is_some_and(|worker| worker.incarnation == *incarnation)
     }
 
-    /// Sends a report; what does not reach the leader is found again after the next attachment.
+    /// Sends a report and returns `true` if it was queued. A lost report is made up for by those
+    /// after the next attachment.
     fn report(&mut self, message: AgentMessage) -> bool {
         let Some(stream) = &self.stream else { return false };
         let sent = stream.send(&AgentFrame::Report(message));
         if !sent {
-            log::warn!(event = "leader_lost", reason = "stream full or gone"; "attaching anew");
+            log::warn!(
+                event = "leader_lost", reason = "stream full or gone";
+                "a report to the leader was lost; attaching again"
+            );
             self.stream = None;
         }
         sent
     }
 }
 
-fn is_life(seen: &PollResponse, incarnation: &WorkerIncarnation) -> bool {
-    seen.started_at_unix_ms.is_none_or(|started| started == incarnation.started_at_unix_ms)
+/// Returns `true` unless the response names a start other than that of `incarnation`.
+fn is_from_incarnation(response: &PollResponse, incarnation: &WorkerIncarnation) -> bool {
+    response.started_at_unix_ms.is_none_or(|started| started == incarnation.started_at_unix_ms)
 }
 
-async fn receive(stream: &mut Option<AgentStream>) -> Option<LeaderFrame> {
+async fn receive_frame(stream: &mut Option<AgentStream>) -> Option<LeaderFrame> {
     match stream {
         Some(stream) => stream.receive().await,
         None => std::future::pending().await,
--- a/crates/yuccatack_worker_agent/src/lib.rs
+++ b/crates/yuccatack_worker_agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent beside a worker.
+//! Agent of a worker.
 //!
-//! It reports what the worker runs to the control leader, renews the worker's lease only from the
-//! leader's grants, and carries out the leader's orders. How the worker is spoken to is behind
-//! [`WorkerPort`].
+//! It reports the worker's runs to the queue control leader, carries out the leader's orders and
+//! renews the worker's lease, but only as far as the leader has granted it. [`WorkerPort`]
+//! abstracts the calls to the worker.
 
 mod agent;
 mod orders;
--- a/crates/yuccatack_worker_agent/src/orders.rs
+++ b/crates/yuccatack_worker_agent/src/orders.rs
@@ -1,77 +1,76 @@
-//! Which orders were carried out in the present incarnation of the worker.
+//! Progress of the leader's orders in the current incarnation of the worker.
 
 use yuccatack_core::{FastHashMap, FastHashSet};
 use yuccatack_dispatch::StartResult;
 use yuccatack_runs::RunId;
 
-/// A start that the agent has seen.
+/// Progress of an ordered start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum StartState {
-    UnderWay,
-    Finished(StartResult),
+    InFlight,
+    Completed(StartResult),
 }
 
-/// What to do with an ordered start.
+/// Action that an ordered start requires.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StartAction {
-    /// Send it to the worker.
     Send,
-    /// It is on its way.
-    Wait,
-    /// It was carried out; report this again.
+    /// The call to the worker is in flight and its result will be reported.
+    AwaitResult,
+    /// The call has completed; repeats the report of its result.
     Report(StartResult),
 }
 
-/// The orders of the present incarnation.
+/// Orders received for the current incarnation of the worker.
 ///
-/// A start is sent to the worker once only, since a second answer would hide that the first one is
-/// still under way.
+/// A start is sent to the worker only once, since the response to a second call would hide that the
+/// first one is still in flight.
 #[derive(Debug, Default)]
-pub(crate) struct OrderBook {
+pub(crate) struct OrderTracker {
     starts: FastHashMap<RunId, StartState>,
-    stops_under_way: FastHashSet<RunId>,
-    /// Stops that the worker confirmed, for the next observation that begins after them.
-    stopped: Vec<RunId>,
+    stops_in_flight: FastHashSet<RunId>,
+    /// Runs whose stop the worker has confirmed and no delivered observation includes yet.
+    confirmed_stops: Vec<RunId>,
 }
 
-impl OrderBook {
+impl OrderTracker {
     pub fn on_start_order(&mut self, run: &RunId) -> StartAction {
         match self.starts.get(run) {
-            Some(StartState::UnderWay) => StartAction::Wait,
-            Some(StartState::Finished(result)) => StartAction::Report(*result),
+            Some(StartState::InFlight) => StartAction::AwaitResult,
+            Some(StartState::Completed(result)) => StartAction::Report(*result),
             None => {
-                self.starts.insert(run.clone(), StartState::UnderWay);
+                self.starts.insert(run.clone(), StartState::InFlight);
                 StartAction::Send
             }
         }
     }
 
     pub fn on_start_result(&mut self, run: &RunId, result: StartResult) {
-        self.starts.insert(run.clone(), StartState::Finished(result));
+        self.starts.insert(run.clone(), StartState::Completed(result));
     }
 
-    /// Whether the stop is to be sent; one at a time for each run.
+    /// Returns `true` if the stop must be sent; only one is in flight for each run.
     pub fn on_stop_order(&mut self, run: &RunId) -> bool {
-        self.stops_under_way.insert(run.clone())
+        self.stops_in_flight.insert(run.clone())
     }
 
     pub fn on_stop_result(&mut self, run: &RunId, confirmed: bool) {
-        self.stops_under_way.remove(run);
-        if confirmed && !self.stopped.contains(run) {
-            self.stopped.push(run.clone());
+        self.stops_in_flight.remove(run);
+        if confirmed && !self.confirmed_stops.contains(run) {
+            self.confirmed_stops.push(run.clone());
         }
     }
 
-    /// The stops that an observation that begins now includes.
-    pub fn stopped(&self) -> Vec<RunId> {
-        self.stopped.clone()
+    /// Returns the confirmed stops, which an observation that begins now reflects.
+    pub fn confirmed_stops(&self) -> Vec<RunId> {
+        self.confirmed_stops.clone()
     }
 
-    /// Forgets stops that were reported, and what the worker has ended.
+    /// Removes the orders of runs that a delivered observation listed as stopped or ended.
     pub fn on_reported(&mut self, stopped: &[RunId], ended: &[RunId]) {
-        self.stopped.retain(|run| !stopped.contains(run));
+        self.confirmed_stops.retain(|run| !stopped.contains(run));
         for run in stopped.iter().chain(ended) {
-            if !self.stops_under_way.contains(run) {
+            if !self.stops_in_flight.contains(run) {
                 self.starts.remove(run);
             }
         }
--- a/crates/yuccatack_worker_agent/src/port.rs
+++ b/crates/yuccatack_worker_agent/src/port.rs
@@ -1,4 +1,4 @@
-//! What the agent needs of its worker.
+//! Interface between the agent and its worker.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -7,106 +7,107 @@
 use yuccatack_dispatch::{EndedRun, RunningRun, StartResult, WorkerState};
 use yuccatack_runs::{RunId, WorkerIncarnation};
 
-/// What a worker says of itself.
+/// Announcement that a worker sends to its agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Announcement {
-    /// It is there, in this state.
+    /// The worker is up.
     Present {
-        /// The worker.
+        /// Identity, capacity and drain state of the worker.
         state: WorkerState,
-        /// Numbers the announcements of one incarnation, so that a late one can be told.
+        /// Number of the announcement within the worker's incarnation; one that arrives after a
+        /// higher number is outdated.
         sequence: u64,
     },
-    /// It leaves now.
+    /// The worker shuts down.
     Left(WorkerName),
 }
 
-/// A run to begin.
+/// Call that starts a run.
 #[derive(Clone, Debug)]
 pub struct StartCall {
-    /// The incarnation that may carry it out.
+    /// Incarnation of the worker that the call is for; any other one must reject it.
     pub incarnation: WorkerIncarnation,
-    /// The fencing token of the leader that ordered it.
+    /// Fencing token of the leader that ordered it.
     pub token: u64,
-    /// The run.
+    /// Attempt of a task to start.
     pub run: RunId,
-    /// What to run.
+    /// Payload of the job, passed to the worker unchanged.
     pub payload: Arc<str>,
-    /// The lease, by the worker's clock.
+    /// End of the lease, by the worker's clock.
     pub until_clock_ms: u64,
-    /// The progress to resume from.
+    /// Checkpoint of an earlier run to resume from; `None` starts from the beginning.
     pub checkpoint: Option<Arc<str>>,
 }
 
-/// A run to stop.
+/// Call that stops a run.
 #[derive(Clone, Debug)]
 pub struct StopCall {
-    /// The incarnation that may carry it out.
+    /// Incarnation of the worker that the call is for; any other one must reject it.
     pub incarnation: WorkerIncarnation,
-    /// The fencing token of the leader that ordered it.
+    /// Fencing token of the leader that ordered it.
     pub token: u64,
-    /// The run.
+    /// Run to stop; it may not have started yet.
     pub run: RunId,
 }
 
-/// A look at the worker, and a renewal of its lease.
+/// Call that reads the state of the worker's runs and renews its lease.
 #[derive(Clone, Debug)]
 pub struct PollCall {
-    /// The incarnation that may carry it out.
+    /// Incarnation of the worker that the call is for; any other one must reject it.
     pub incarnation: WorkerIncarnation,
-    /// The fencing token of the newest leader.
+    /// Fencing token of the newest leader.
     pub token: u64,
-    /// The lease, by the worker's clock, if the leader renewed it.
+    /// New end of the lease, by the worker's clock; `None` if the leader has not granted one yet.
     pub until_clock_ms: Option<u64>,
-    /// Ends up to this number may be forgotten.
+    /// Number of the last run end that the leader has stored; the worker may discard ends up to it.
     pub acknowledged_end: u64,
-    /// How long the worker may wait for a run to end before it answers.
+    /// Longest time that the worker may wait for a run to end before it responds.
     pub wait_ms: DurationMs,
 }
 
-/// What became of a stop.
+/// Result of a [`StopCall`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopResult {
-    /// The run stops or has stopped, and cannot begin any more.
+    /// The run is stopping or has stopped, and cannot start any more.
     Confirmed,
-    /// The worker refused.
+    /// The worker refused the call, and the run may go on.
     Refused,
-    /// There was no answer.
+    /// The call got no response, and the run may or may not stop.
     Unknown,
 }
 
-/// What a look at the worker showed.
+/// Result of a [`PollCall`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollResult {
-    /// The worker answered.
+    /// The worker responded.
     Answered(PollResponse),
-    /// Another incarnation of the worker answered.
+    /// Another incarnation of the worker responded.
     OtherIncarnation,
-    /// The worker refused or did not answer.
+    /// The worker refused the call or did not respond.
     Failed,
 }
 
-/// What runs and what has ended.
+/// State of the worker's runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PollResponse {
-    /// When the answering incarnation began, by its time of day, if it says so.
+    /// Start of the responding incarnation by the worker's wall clock, if the worker sends it.
     pub started_at_unix_ms: Option<u64>,
-    /// The worker's steady clock.
+    /// Reading of the worker's monotonic clock.
     pub clock_ms: u64,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<RunningRun>,
-    /// What has ended and was not noted.
+    /// Ended runs that the leader has not acknowledged.
     pub ended: Vec<EndedRun>,
 }
 
-/// The calls to a worker. Each call ends by itself, with an unknown result after a time limit.
+/// Calls to a worker. Each one has its own timeout, after which its result is unknown.
 pub trait WorkerPort: Send + Sync + 'static {
-    /// Begins a run.
+    /// Starts a run.
     fn start(&self, call: StartCall) -> impl Future<Output = StartResult> + Send;
 
-    /// Stops a run, and bars it if it has not begun.
+    /// Stops a run, or prevents it from starting if it has not started yet.
     fn stop(&self, call: StopCall) -> impl Future<Output = StopResult> + Send;
 
-    /// Looks at the worker and renews its lease.
+    /// Reads the state of the worker's runs and renews its lease.
     fn poll(&self, call: PollCall) -> impl Future<Output = PollResult> + Send;
 }
--- a/crates/yuccatack_worker_agent/tests/hold_pace.rs
+++ b/crates/yuccatack_worker_agent/tests/hold_pace.rs
@@ -1,5 +1,5 @@
-//! Guards against an agent that looks at its worker without a pause while the worker lists ends that
-//! the leader has not stored yet.
+//! Guards against an agent that polls its worker in a busy loop while the worker lists run ends
+//! that the leader has not stored yet, since the worker then responds to every poll at once.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -31,12 +31,12 @@
 
 const TOKEN: u64 = 3;
 
-/// How many frames may wait for the agent.
+/// Number of frames that may be queued for the agent.
 const FRAME_QUEUE_LENGTH: usize = 16;
 
-/// A leader that takes reports and sends what the test gives it.
+/// Leader that discards reports and hands the sender of each agent's stream to the test.
 struct Leader {
-    frames: mpsc::Sender<mpsc::Sender<LeaderFrame>>,
+    streams: mpsc::Sender<mpsc::Sender<LeaderFrame>>,
 }
 
 #[tonic::async_trait]
@@ -55,16 +55,17 @@
         tokio::spawn(async move { while let Ok(Some(_)) = reports.message().await {} });
         let (sender, frames) = mpsc::channel(FRAME_QUEUE_LENGTH);
         sender.send(LeaderFrame::Leading { token: TOKEN }).await.unwrap();
-        self.frames.send(sender).await.unwrap();
+        self.streams.send(sender).await.unwrap();
         let frames =
             ReceiverStream::new(frames).map(|frame| Ok(Envelope::try_from(&frame).unwrap()));
         Ok(Response::new(Box::pin(frames)))
     }
 }
 
-/// A worker with one ended run, which it lists until the end is noted.
+/// Worker with one ended run, which it lists until the end is acknowledged.
 struct EndedWorker {
-    looks: mpsc::UnboundedSender<u64>,
+    /// Receives the acknowledged end of each poll.
+    polls: mpsc::UnboundedSender<u64>,
 }
 
 impl WorkerPort for EndedWorker {
@@ -77,7 +78,7 @@
     }
 
     async fn poll(&self, call: PollCall) -> PollResult {
-        self.looks.send(call.acknowledged_end).unwrap();
+        self.polls.send(call.acknowledged_end).unwrap();
         let task = TaskId { job: JobName::new("job").unwrap(), occurrence: 0, step: 0, index: 0 };
         let run = RunId { task, number: 1 };
         let end = EndedRun { number: 1, run, outcome: RunOutcome::Done, checkpoint: None };
@@ -107,51 +108,55 @@
     }
 }
 
-/// The leader's side of the stream, the looks at the worker, and what keeps the agent running.
-type Running = (
+/// Leader's side of the stream, polls that the worker received, and handles that keep the agent
+/// running.
+type AttachedAgent = (
     mpsc::Sender<LeaderFrame>,
     mpsc::UnboundedReceiver<u64>,
     (ShutdownTrigger, mpsc::Sender<Announcement>),
 );
 
-async fn attached_agent() -> Running {
+async fn attached_agent() -> AttachedAgent {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (_, seeds) = watch::channel(vec![listener.local_addr().unwrap()]);
-    let (frames, mut streams) = mpsc::channel(1);
-    let server = Server::builder().add_service(QueueControlServer::new(Leader { frames }));
+    let (streams, mut attached) = mpsc::channel(1);
+    let server = Server::builder().add_service(QueueControlServer::new(Leader { streams }));
     tokio::spawn(server.serve_with_incoming(TcpIncoming::from(listener)));
-    let (looks, seen) = mpsc::unbounded_channel();
-    let (announcements, waiting) = mpsc::channel(1);
+    let (polls, received_polls) = mpsc::unbounded_channel();
+    let (announcements, announced) = mpsc::channel(1);
     let (trigger, shutdown) = shutdown_channel();
     let config = AgentConfig { node: NodeName::new("node").unwrap() };
-    let port = EndedWorker { looks };
-    tokio::spawn(Agent::run(config, port, QueueClient::new(seeds), waiting, shutdown));
+    let port = EndedWorker { polls };
+    tokio::spawn(Agent::run(config, port, QueueClient::new(seeds), announced, shutdown));
     announcements.send(Announcement::Present { state: worker(), sequence: 1 }).await.unwrap();
-    let stream = streams.recv().await.unwrap();
-    (stream, seen, (trigger, announcements))
+    let stream = attached.recv().await.unwrap();
+    (stream, received_polls, (trigger, announcements))
 }
 
-fn counted(seen: &mut mpsc::UnboundedReceiver<u64>) -> usize {
+fn count_polls(polls: &mut mpsc::UnboundedReceiver<u64>) -> usize {
     let mut count = 0;
-    while seen.try_recv().is_ok() {
+    while polls.try_recv().is_ok() {
         count += 1;
     }
     count
 }
 
 #[tokio::test]
-async fn pause_between_looks() {
-    let (_stream, mut seen, _running) = attached_agent().await;
-    assert_eq!(seen.recv().await, Some(0));
+async fn pause_between_polls() {
+    let (_stream, mut polls, _handles) = attached_agent().await;
+    assert_eq!(polls.recv().await, Some(0));
     sleep(Duration::from_secs(2)).await;
-    let count = counted(&mut seen);
-    assert!((4..=16).contains(&count), "{count} looks in 2 s at a worker that lists an end");
+    let count = count_polls(&mut polls);
+    assert!(
+        (4..=16).contains(&count),
+        "{count} polls in 2 s of a worker that lists an unacknowledged end"
+    );
 }
 
 #[tokio::test]
-async fn noted_end_told() {
-    let (stream, mut seen, _running) = attached_agent().await;
-    assert_eq!(seen.recv().await, Some(0));
+async fn acknowledged_end_sent() {
+    let (stream, mut polls, _handles) = attached_agent().await;
+    assert_eq!(polls.recv().await, Some(0));
     let orders = Orders {
         token: TOKEN,
         incarnation: worker().incarnation,
@@ -161,9 +166,9 @@
         stops: Vec::new(),
     };
     stream.send(LeaderFrame::Orders(orders)).await.unwrap();
-    // The worker is told at the next look, without a renewed lease.
+    // The next poll must carry the acknowledgement although no lease is renewed.
     sleep(Duration::from_millis(500)).await;
-    let told =
-        std::iter::from_fn(|| seen.try_recv().ok()).any(|acknowledged_end| acknowledged_end == 1);
-    assert!(told, "the worker was not told that its end is stored");
+    let acknowledged =
+        std::iter::from_fn(|| polls.try_recv().ok()).any(|acknowledged_end| acknowledged_end == 1);
+    assert!(acknowledged, "no poll acknowledged the end that the leader has stored");
 }
--- a/crates/yuccatack_worker_agent/tests/leader_search.rs
+++ b/crates/yuccatack_worker_agent/tests/leader_search.rs
@@ -1,5 +1,5 @@
-//! Guards against agents and callers that keep the replicas from electing a leader by asking all of
-//! them again and again.
+//! Guards against agents and callers that retry without a backoff while there is no leader: the
+//! load would keep the replicas from electing one.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -27,15 +27,15 @@
     Agent, AgentConfig, PollCall, PollResult, StartCall, StopCall, StopResult, WorkerPort,
 };
 
-/// A replica that never leads and counts who asks.
+/// Replica that never leads and reports every call and attachment to the test.
 struct Follower {
-    asked: mpsc::UnboundedSender<()>,
+    requested: mpsc::UnboundedSender<()>,
 }
 
 #[tonic::async_trait]
 impl QueueControl for Follower {
     async fn call(&self, _request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
-        self.asked.send(()).unwrap();
+        self.requested.send(()).unwrap();
         let refusal = protocol::Response::NotLeader(LeaderHint::default());
         Ok(Response::new(Envelope::try_from(&refusal).unwrap()))
     }
@@ -46,17 +46,17 @@
         &self,
         _request: Request<Streaming<Envelope>>,
     ) -> Result<Response<Self::AttachStream>, Status> {
-        self.asked.send(()).unwrap();
+        self.requested.send(()).unwrap();
         let frame = LeaderFrame::NotLeader(LeaderHint::default());
         let frame = Envelope::try_from(&frame).unwrap();
         Ok(Response::new(Box::pin(tokio_stream::iter([Ok(frame)]))))
     }
 }
 
-/// A worker that is never spoken to, because there is no leader.
-struct NoWorker;
+/// Worker that is never called, because there is no leader.
+struct UnusedWorker;
 
-impl WorkerPort for NoWorker {
+impl WorkerPort for UnusedWorker {
     async fn start(&self, _call: StartCall) -> StartResult {
         StartResult::Unknown
     }
@@ -70,18 +70,18 @@
     }
 }
 
-async fn follower() -> (watch::Receiver<Vec<SocketAddr>>, mpsc::UnboundedReceiver<()>) {
+async fn start_follower() -> (watch::Receiver<Vec<SocketAddr>>, mpsc::UnboundedReceiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (_, seeds) = watch::channel(vec![listener.local_addr().unwrap()]);
-    let (asked, count) = mpsc::unbounded_channel();
-    let server = Server::builder().add_service(QueueControlServer::new(Follower { asked }));
+    let (requested, requests) = mpsc::unbounded_channel();
+    let server = Server::builder().add_service(QueueControlServer::new(Follower { requested }));
     tokio::spawn(server.serve_with_incoming(TcpIncoming::from(listener)));
-    (seeds, count)
+    (seeds, requests)
 }
 
-fn counted(mut asked: mpsc::UnboundedReceiver<()>) -> usize {
+fn count_requests(mut requests: mpsc::UnboundedReceiver<()>) -> usize {
     let mut count = 0;
-    while asked.try_recv().is_ok() {
+    while requests.try_recv().is_ok() {
         count += 1;
     }
     count
@@ -89,22 +89,26 @@
 
 #[tokio::test]
 async fn agent_backs_off() {
-    let (seeds, asked) = follower().await;
-    let (_announcements, waiting) = mpsc::channel(1);
+    let (seeds, requests) = start_follower().await;
+    let (_announcements, announced) = mpsc::channel(1);
     let (_trigger, shutdown) = shutdown_channel();
     let config = AgentConfig { node: NodeName::new("node").unwrap() };
-    tokio::spawn(Agent::run(config, NoWorker, QueueClient::new(seeds), waiting, shutdown));
+    tokio::spawn(Agent::run(config, UnusedWorker, QueueClient::new(seeds), announced, shutdown));
     sleep(Duration::from_secs(3)).await;
-    let count = counted(asked);
-    assert!((2..=16).contains(&count), "the agent asked {count} times in 3 s");
+    let count = count_requests(requests);
+    assert!((2..=16).contains(&count), "the agent made {count} attempts to attach in 3 s");
 }
 
 #[tokio::test]
 async fn caller_backs_off() {
-    let (seeds, asked) = follower().await;
+    let (seeds, requests) = start_follower().await;
     let client = QueueClient::new(seeds);
-    let answer = client.call(&protocol::Request::Ping, Duration::from_secs(3)).await;
-    assert_eq!(answer, Err(CallError::NotDone), "a refusal is no unknown outcome");
-    let count = counted(asked);
-    assert!((2..=24).contains(&count), "the caller asked {count} times in 3 s");
+    let result = client.call(&protocol::Request::Ping, Duration::from_secs(3)).await;
+    assert_eq!(
+        result,
+        Err(CallError::NotDone),
+        "a refused call was reported with an unknown outcome"
+    );
+    let count = count_requests(requests);
+    assert!((2..=24).contains(&count), "the caller made {count} attempts in 3 s");
 }
