--- a/crates/yuccatack_queue_control/src/actor.rs
+++ b/crates/yuccatack_queue_control/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the replicated state and the leader's memory.
+//! Control actor, which owns the replicated state and the leader's unreplicated state.
 
 use std::net::SocketAddr;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -16,30 +16,33 @@
 use yuccatack_telemetry::Metrics;
 
 use crate::agents::Agents;
-use crate::calls::{Plan, answer, plan};
+use crate::calls::{Plan, plan, response_for};
 use crate::command::Command;
 use crate::message::{ControlMessage, JoinRequest};
-use crate::observe::{log_applied, log_command};
+use crate::observe::{log_after_apply, log_before_apply};
 use crate::state::QueueState;
 
-/// How often agents are shown that the leader is alive. They give a stream up after three misses.
-const BEAT_INTERVAL: DurationMs = DurationMs::new(250);
+/// Interval of heartbeats to agents. An agent closes its stream after about three missed ones.
+const AGENT_HEARTBEAT_INTERVAL: DurationMs = DurationMs::new(250);
 
-/// How often ended jobs are dropped.
-const FORGET_INTERVAL: DurationMs = DurationMs::new(30_000);
+/// Interval at which the leader removes ended jobs whose retention period is over.
+const JOB_REMOVAL_INTERVAL: DurationMs = DurationMs::new(30_000);
 
-/// What waits for a proposal.
-pub(crate) enum Proposed {
+/// Continuation of a proposal once it is committed or has failed.
+pub(crate) enum PendingProposal {
     Call(oneshot::Sender<Response>),
-    /// A batch of table changes; the next one is decided after it.
+    /// A batch of table changes; no other batch is proposed until this one completes.
     Changes,
     Housekeeping,
 }
 
-/// What waits for a confirmation of the lead.
-pub(crate) enum Confirmed {
+/// Continuation of a read once a quorum has confirmed the leadership.
+pub(crate) enum PendingRead {
     Call(Request, oneshot::Sender<Response>),
-    Leases { began_at: TimestampMs },
+    /// Allows leases based on reports that arrived before `began_at`.
+    Leases {
+        began_at: TimestampMs,
+    },
 }
 
 pub(crate) struct ControlActor;
@@ -56,28 +59,34 @@
     pub(crate) settings: DispatchSettings,
     pub(crate) joins: mpsc::Sender<JoinRequest>,
     pub(crate) metrics: Metrics,
-    pub(crate) started: Instant,
-    pub(crate) state: QueueState,
-    pub(crate) applied: LogIndex,
+    pub(crate) started_at: Instant,
+    pub(crate) queue_state: QueueState,
+    pub(crate) applied_index: LogIndex,
+    /// Address of another replica that leads, if known.
     pub(crate) leader_address: Option<SocketAddr>,
+    /// Present only while this replica leads.
     pub(crate) dispatcher: Option<Dispatcher>,
     pub(crate) agents: Agents,
-    pub(crate) proposals: FastHashMap<ProposalId, Proposed>,
-    pub(crate) reads: FastHashMap<ReadId, Confirmed>,
-    pub(crate) next_number: u64,
-    pub(crate) changes: Vec<TableChange>,
-    pub(crate) changes_proposed: bool,
+    pub(crate) proposals: FastHashMap<ProposalId, PendingProposal>,
+    pub(crate) reads: FastHashMap<ReadId, PendingRead>,
+    /// Last ID given to a proposal or a read.
+    pub(crate) last_id: u64,
+    /// Table changes that follow from agents' reports and are not proposed yet.
+    pub(crate) pending_changes: Vec<TableChange>,
+    /// `true` while a [`PendingProposal::Changes`] is in flight.
+    pub(crate) changes_in_flight: bool,
     pub(crate) schedule_requested: bool,
-    /// Whether anything changed since the last decision.
-    pub(crate) decision_due: bool,
-    pub(crate) decided_at: TimestampMs,
-    /// Until when other work comes first.
+    /// `true` if the job table or a worker changed since the last scheduling pass.
+    pub(crate) changed_since_pass: bool,
+    pub(crate) scheduled_at: TimestampMs,
+    /// Time before which no scheduling pass starts, so that other messages are handled first.
     pub(crate) paused_until: TimestampMs,
-    pub(crate) lease_read: bool,
-    pub(crate) confirmed_at: TimestampMs,
-    pub(crate) forgot_at: TimestampMs,
-    pub(crate) beat_at: TimestampMs,
-    pub(crate) drains: Vec<oneshot::Sender<()>>,
+    /// `true` while a [`PendingRead::Leases`] is in flight.
+    pub(crate) lease_read_pending: bool,
+    pub(crate) lease_read_at: TimestampMs,
+    pub(crate) jobs_removed_at: TimestampMs,
+    pub(crate) agent_heartbeat_at: TimestampMs,
+    pub(crate) drain_replies: Vec<oneshot::Sender<()>>,
 }
 
 impl Actor for ControlActor {
@@ -96,26 +105,26 @@
             settings,
             joins,
             metrics,
-            started: Instant::now(),
-            state: QueueState::default(),
-            applied: LogIndex::default(),
+            started_at: Instant::now(),
+            queue_state: QueueState::default(),
+            applied_index: LogIndex::default(),
             leader_address: None,
             dispatcher: None,
             agents: Agents::default(),
             proposals: FastHashMap::default(),
             reads: FastHashMap::default(),
-            next_number: 0,
-            changes: Vec::new(),
-            changes_proposed: false,
+            last_id: 0,
+            pending_changes: Vec::new(),
+            changes_in_flight: false,
             schedule_requested: false,
-            decision_due: false,
-            decided_at: TimestampMs::default(),
+            changed_since_pass: false,
+            scheduled_at: TimestampMs::default(),
             paused_until: TimestampMs::default(),
-            lease_read: false,
-            confirmed_at: TimestampMs::default(),
-            forgot_at: TimestampMs::default(),
-            beat_at: TimestampMs::default(),
-            drains: Vec::new(),
+            lease_read_pending: false,
+            lease_read_at: TimestampMs::default(),
+            jobs_removed_at: TimestampMs::default(),
+            agent_heartbeat_at: TimestampMs::default(),
+            drain_replies: Vec::new(),
         })
     }
 
@@ -131,13 +140,16 @@
             ControlMessage::AgentConnected { stream, node, frames } => {
                 match &mut state.dispatcher {
                     Some(dispatcher) => {
-                        log::info!(event = "agent_attached", node = node.as_str(); "an agent attached");
+                        log::info!(
+                            event = "agent_attached", node = node.as_str();
+                            "an agent attached to this leader"
+                        );
                         dispatcher.connect(&node);
                         state.agents.connect(node, stream, frames, dispatcher.token());
                     }
                     None => {
-                        let hint = state.hint();
-                        // The agent may be gone already.
+                        let hint = state.leader_hint();
+                        // The agent may have closed the stream already.
                         let _ = frames.try_send(LeaderFrame::NotLeader(hint));
                     }
                 }
@@ -147,16 +159,20 @@
                 if state.agents.is_current(&node, stream)
                     && let Some(dispatcher) = &mut state.dispatcher
                 {
-                    // Most observations change nothing and wait for the next decision.
-                    let observed = matches!(message, AgentMessage::Observed(_));
-                    let changes = dispatcher.on_message(&node, message, &state.state.jobs, now);
-                    state.decision_due |= !observed || !changes.is_empty();
-                    state.changes.extend(changes);
+                    // Most observations change nothing, so they do not trigger a scheduling pass.
+                    let is_observation = matches!(message, AgentMessage::Observed(_));
+                    let changes =
+                        dispatcher.on_message(&node, message, &state.queue_state.jobs, now);
+                    state.changed_since_pass |= !is_observation || !changes.is_empty();
+                    state.pending_changes.extend(changes);
                 }
             }
-            ControlMessage::AgentGone { stream, node } => {
+            ControlMessage::AgentDisconnected { stream, node } => {
                 if state.agents.is_current(&node, stream) {
-                    log::warn!(event = "agent_detached", node = node.as_str(); "an agent's stream ended");
+                    log::warn!(
+                        event = "agent_detached", node = node.as_str();
+                        "an agent's stream ended; it gets no orders until it attaches again"
+                    );
                     state.agents.disconnect(&node);
                     if let Some(dispatcher) = &mut state.dispatcher {
                         dispatcher.disconnect(&node);
@@ -165,11 +181,11 @@
             }
             ControlMessage::Schedule => return state.schedule(),
             ControlMessage::Tick => state.on_tick()?,
-            ControlMessage::Drain { reply } => state.drains.push(reply),
+            ControlMessage::Drain { reply } => state.drain_replies.push(reply),
         }
-        state.finish_drains();
+        state.reply_to_drains();
         if state.schedule_is_due() && !state.schedule_requested {
-            // The mailbox is in order, so one decision covers everything that waits now.
+            // The mailbox is ordered, so one scheduling pass covers every message queued now.
             state.schedule_requested = myself.cast(ControlMessage::Schedule).is_ok();
         }
         Ok(())
@@ -178,15 +194,15 @@
 
 impl ControlState {
     pub(crate) fn now(&self) -> TimestampMs {
-        TimestampMs::default() + DurationMs::from(self.started.elapsed())
+        TimestampMs::default() + DurationMs::from(self.started_at.elapsed())
     }
 
-    pub(crate) fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    pub(crate) fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    fn hint(&self) -> LeaderHint {
+    fn leader_hint(&self) -> LeaderHint {
         let status = self.replication.status();
         let status = status.borrow();
         let members = status.voters.values().copied();
@@ -196,17 +212,17 @@
 
     fn on_call(&mut self, request: Request, reply: oneshot::Sender<Response>) {
         if self.dispatcher.is_none() {
-            let hint = self.hint();
+            let hint = self.leader_hint();
             respond(reply, Response::NotLeader(hint));
             return;
         }
         if let Request::Join { replica_id, address } = request {
             let join = JoinRequest { replica: ReplicaId::new(replica_id), address };
-            // A full queue only means that the replica asks again.
+            // A request that does not fit into the queue is dropped; the replica repeats it.
             let _ = self.joins.try_send(join);
         }
-        let read = ReadId::new(self.number());
-        self.reads.insert(read, Confirmed::Call(request, reply));
+        let read = ReadId::new(self.next_id());
+        self.reads.insert(read, PendingRead::Call(request, reply));
         self.replication.read(read);
     }
 
@@ -217,13 +233,13 @@
             }
             Committed::Snapshot { index, payload } => {
                 if !payload.is_empty() {
-                    self.state = decode(&payload)?;
+                    self.queue_state = decode(&payload)?;
                 }
-                self.applied = index;
+                self.applied_index = index;
             }
             Committed::SnapshotRequested { index } => {
-                if index == self.applied {
-                    self.replication.store_snapshot(index, Bytes::from(encode(&self.state)?));
+                if index == self.applied_index {
+                    self.replication.store_snapshot(index, Bytes::from(encode(&self.queue_state)?));
                 }
             }
             Committed::ProposalFailed { proposal, failure } => {
@@ -233,11 +249,11 @@
             Committed::ReadFailed { read, failure } => {
                 let ReadFailure::NotLeader { leader_address } = failure;
                 match self.reads.remove(&read) {
-                    Some(Confirmed::Call(_, reply)) => {
-                        let hint = LeaderHint { leader: leader_address, ..self.hint() };
+                    Some(PendingRead::Call(_, reply)) => {
+                        let hint = LeaderHint { leader: leader_address, ..self.leader_hint() };
                         respond(reply, Response::NotLeader(hint));
                     }
-                    Some(Confirmed::Leases { .. }) => self.lease_read = false,
+                    Some(PendingRead::Leases { .. }) => self.lease_read_pending = false,
                     None => {}
                 }
             }
@@ -247,16 +263,16 @@
     }
 
     fn on_leadership(&mut self, leadership: Leadership) {
-        self.changes.clear();
-        self.changes_proposed = false;
-        self.lease_read = false;
+        self.pending_changes.clear();
+        self.changes_in_flight = false;
+        self.lease_read_pending = false;
         match leadership {
             Leadership::Leader { term } => {
                 log::info!(
                     event = "lead_gained", term = term.get(),
-                    configuration = self.state.configuration.version().get(),
-                    open_runs = self.state.jobs.open_runs().len();
-                    "this replica leads and schedules"
+                    configuration = self.queue_state.configuration.version().get(),
+                    open_runs = self.queue_state.jobs.open_runs().len();
+                    "this replica became the leader and schedules jobs"
                 );
                 let now = self.now();
                 self.leader_address = None;
@@ -265,10 +281,13 @@
             Leadership::Follower { leader_address } => {
                 self.leader_address = leader_address;
                 if self.dispatcher.take().is_some() {
-                    log::warn!(event = "lead_lost"; "another replica leads or will");
+                    log::warn!(
+                        event = "lead_lost";
+                        "this replica lost the leadership and stops scheduling"
+                    );
                 }
-                let hint = self.hint();
-                self.agents.end_all(&hint);
+                let hint = self.leader_hint();
+                self.agents.close_all(&hint);
             }
         }
     }
@@ -280,57 +299,62 @@
         payload: &[u8],
     ) -> Result<(), ActorProcessingErr> {
         let command = decode::<Command>(payload)?;
-        // Followers apply the same; one copy of each line is enough.
-        let leads = self.dispatcher.is_some();
-        let record = leads.then(|| {
-            let unfinished = log_command(&command, &self.state, index, &self.metrics);
+        // Every replica applies the command; only the leader logs it.
+        let is_leader = self.dispatcher.is_some();
+        let logged = is_leader.then(|| {
+            let unfinished = log_before_apply(&command, &self.queue_state, index, &self.metrics);
             (command.clone(), unfinished)
         });
-        let applied = self.state.apply(command);
-        if let Some((record, unfinished)) = &record {
-            log_applied(record, applied, unfinished, &self.state, index);
-            self.metrics.queues.set_open_runs(self.state.jobs.open_runs().len());
+        let applied = self.queue_state.apply(command);
+        if let Some((command, unfinished)) = &logged {
+            log_after_apply(command, applied, unfinished, &self.queue_state, index);
+            self.metrics.queues.set_open_runs(self.queue_state.jobs.open_runs().len());
         }
-        self.applied = index;
-        self.decision_due = true;
+        self.applied_index = index;
+        self.changed_since_pass = true;
         match proposal.and_then(|proposal| self.proposals.remove(&proposal)) {
-            Some(Proposed::Call(reply)) => respond(reply, answer(applied)),
-            Some(Proposed::Changes) => self.changes_proposed = false,
-            Some(Proposed::Housekeeping) | None => {}
+            Some(PendingProposal::Call(reply)) => respond(reply, response_for(applied)),
+            Some(PendingProposal::Changes) => self.changes_in_flight = false,
+            Some(PendingProposal::Housekeeping) | None => {}
         }
         Ok(())
     }
 
     fn on_proposal_failed(&mut self, proposal: ProposalId, failure: ProposalFailure) {
         match self.proposals.remove(&proposal) {
-            Some(Proposed::Call(reply)) => {
+            Some(PendingProposal::Call(reply)) => {
                 let response = match failure {
                     ProposalFailure::NotLeader { leader_address } => {
-                        Response::NotLeader(LeaderHint { leader: leader_address, ..self.hint() })
+                        Response::NotLeader(LeaderHint {
+                            leader: leader_address,
+                            ..self.leader_hint()
+                        })
                     }
                     ProposalFailure::Unknown => Response::Unknown,
                 };
                 respond(reply, response);
             }
-            Some(Proposed::Changes) => self.changes_proposed = false,
-            Some(Proposed::Housekeeping) | None => {}
+            Some(PendingProposal::Changes) => self.changes_in_flight = false,
+            Some(PendingProposal::Housekeeping) | None => {}
         }
     }
 
     fn on_read_ready(&mut self, read: ReadId) -> Result<(), ActorProcessingErr> {
         match self.reads.remove(&read) {
-            Some(Confirmed::Call(request, reply)) => {
-                match plan(&self.state, request, unix_now_ms()) {
-                    Plan::Answer(response) => respond(reply, response),
-                    Plan::Propose(command) => self.propose(&command, Proposed::Call(reply))?,
+            Some(PendingRead::Call(request, reply)) => {
+                match plan(&self.queue_state, request, unix_now_ms()) {
+                    Plan::Respond(response) => respond(reply, response),
+                    Plan::Propose(command) => {
+                        self.propose(&command, PendingProposal::Call(reply))?
+                    }
                 }
             }
-            Some(Confirmed::Leases { began_at }) => {
-                self.lease_read = false;
+            Some(PendingRead::Leases { began_at }) => {
+                self.lease_read_pending = false;
                 if let Some(dispatcher) = &mut self.dispatcher {
                     dispatcher.confirm_leadership(began_at);
                 }
-                self.decision_due = true;
+                self.changed_since_pass = true;
             }
             None => {}
         }
@@ -340,11 +364,11 @@
     pub(crate) fn propose(
         &mut self,
         command: &Command,
-        waits: Proposed,
+        pending: PendingProposal,
     ) -> Result<(), ActorProcessingErr> {
-        let proposal = ProposalId::new(self.number());
+        let proposal = ProposalId::new(self.next_id());
         let payload = Bytes::from(encode(command)?);
-        self.proposals.insert(proposal, waits);
+        self.proposals.insert(proposal, pending);
         self.replication.propose(proposal, payload);
         Ok(())
     }
@@ -352,45 +376,46 @@
     fn on_tick(&mut self) -> Result<(), ActorProcessingErr> {
         let now = self.now();
         if let Some(dispatcher) = &self.dispatcher
-            && now.since(self.beat_at) >= BEAT_INTERVAL
+            && now.since(self.agent_heartbeat_at) >= AGENT_HEARTBEAT_INTERVAL
         {
-            self.beat_at = now;
+            self.agent_heartbeat_at = now;
             self.metrics.queues.set_agents(dispatcher.connected_count());
-            self.agents.beat(dispatcher.token());
+            self.agents.send_heartbeats(dispatcher.token());
         }
-        if self.dispatcher.is_some() && now.since(self.forgot_at) >= FORGET_INTERVAL {
-            self.forgot_at = now;
-            let expired = self.state.expired_jobs(unix_now_ms());
+        if self.dispatcher.is_some() && now.since(self.jobs_removed_at) >= JOB_REMOVAL_INTERVAL {
+            self.jobs_removed_at = now;
+            let expired = self.queue_state.expired_jobs(unix_now_ms());
             if !expired.is_empty() {
-                self.propose(&Command::Forget(expired), Proposed::Housekeeping)?;
+                self.propose(&Command::RemoveEnded(expired), PendingProposal::Housekeeping)?;
             }
         }
         Ok(())
     }
 
-    fn finish_drains(&mut self) {
-        if self.drains.is_empty() || self.has_waiting_calls() {
+    fn reply_to_drains(&mut self) {
+        if self.drain_replies.is_empty() || self.has_pending_calls() {
             return;
         }
-        for reply in self.drains.drain(..) {
-            // The process may have stopped waiting.
+        for reply in self.drain_replies.drain(..) {
+            // The drain may have timed out.
             let _ = reply.send(());
         }
     }
 
-    fn has_waiting_calls(&self) -> bool {
-        let proposed =
-            self.proposals.values().any(|proposed| matches!(proposed, Proposed::Call(_)));
-        proposed || self.reads.values().any(|read| matches!(read, Confirmed::Call(..)))
+    fn has_pending_calls(&self) -> bool {
+        let waits_for_proposal =
+            self.proposals.values().any(|pending| matches!(pending, PendingProposal::Call(_)));
+        waits_for_proposal
+            || self.reads.values().any(|pending| matches!(pending, PendingRead::Call(..)))
     }
 }
 
 fn respond(reply: oneshot::Sender<Response>, response: Response) {
-    // The caller may have given up; its next call gets the same answer.
+    // The caller may have stopped waiting; a repeated call gets the same response.
     let _ = reply.send(response);
 }
 
 pub(crate) fn unix_now_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/yuccatack_queue_control/src/agents.rs
+++ b/crates/yuccatack_queue_control/src/agents.rs
@@ -1,4 +1,4 @@
-//! The streams of agents to the leader.
+//! Streams between the leader and the agents.
 
 use tokio::sync::mpsc;
 use yuccatack_core::{FastHashMap, NodeName};
@@ -12,7 +12,7 @@
     frames: mpsc::Sender<LeaderFrame>,
 }
 
-/// The newest stream of each node's agent.
+/// Newest stream of each node's agent.
 #[derive(Default)]
 pub(crate) struct Agents {
     streams: FastHashMap<NodeName, AgentStream>,
@@ -26,42 +26,45 @@
         frames: mpsc::Sender<LeaderFrame>,
         token: u64,
     ) {
-        // A stream that is full or gone ends, and the agent opens another one.
+        // On failure the agent misses the leader's frames and opens another stream.
         let _ = frames.try_send(LeaderFrame::Leading { token });
         self.streams.insert(node, AgentStream { stream, frames });
     }
 
-    /// Whether `stream` is the node's newest one.
+    /// Returns `true` if `stream` is the node's newest one.
     pub fn is_current(&self, node: &NodeName, stream: StreamId) -> bool {
-        self.streams.get(node).is_some_and(|held| held.stream == stream)
+        self.streams.get(node).is_some_and(|agent| agent.stream == stream)
     }
 
     pub fn disconnect(&mut self, node: &NodeName) {
         self.streams.remove(node);
     }
 
-    /// Sends orders; drops the stream of an agent that does not read, so that it attaches anew.
+    /// Sends orders and returns `true` if they were queued.
+    ///
+    /// Drops the stream of an agent that does not read, so that the agent attaches again.
     pub fn send(&mut self, node: &NodeName, orders: Orders) -> bool {
-        let Some(held) = self.streams.get(node) else { return false };
-        let sent = held.frames.try_send(LeaderFrame::Orders(orders)).is_ok();
+        let Some(agent) = self.streams.get(node) else { return false };
+        let sent = agent.frames.try_send(LeaderFrame::Orders(orders)).is_ok();
         if !sent {
             self.streams.remove(node);
         }
         sent
     }
 
-    /// Shows every agent that its stream and the leader are alive.
-    pub fn beat(&self, token: u64) {
-        for held in self.streams.values() {
-            // A full stream shows by itself that it is alive, or ends with the next orders.
-            let _ = held.frames.try_send(LeaderFrame::Leading { token });
+    /// Sends a heartbeat to every agent, which shows that its stream and the leader are alive.
+    pub fn send_heartbeats(&self, token: u64) {
+        for agent in self.streams.values() {
+            // A full queue holds frames that serve as heartbeats; if the agent does not read them,
+            // the next orders drop its stream.
+            let _ = agent.frames.try_send(LeaderFrame::Leading { token });
         }
     }
 
-    /// Ends all streams.
-    pub fn end_all(&mut self, hint: &LeaderHint) {
-        for (_, held) in self.streams.drain() {
-            let _ = held.frames.try_send(LeaderFrame::NotLeader(hint.clone()));
+    /// Closes all streams after a last frame that names the new leader, if it is known.
+    pub fn close_all(&mut self, hint: &LeaderHint) {
+        for (_, agent) in self.streams.drain() {
+            let _ = agent.frames.try_send(LeaderFrame::NotLeader(hint.clone()));
         }
     }
 }
--- a/crates/yuccatack_queue_control/src/calls.rs
+++ b/crates/yuccatack_queue_control/src/calls.rs
@@ -1,4 +1,4 @@
-//! What a confirmed call means: an answer at once, or a command for the log.
+//! Plans calls whose read was confirmed: each gets a response at once or proposes a command.
 
 use std::sync::Arc;
 
@@ -10,41 +10,43 @@
 use crate::command::Command;
 use crate::state::{Applied, QueueState};
 
-/// How many jobs are stored at most. A stored job takes some kilobytes, and control has a few
-/// hundred megabytes.
+/// Maximum number of stored jobs. A stored job takes some kilobytes, and the control process has a
+/// few hundred megabytes of memory.
 const JOB_LIMIT_COUNT: usize = 20_000;
 
-/// When a caller comes back after it was refused for want of room; jobs last some seconds.
-const FULL_RETRY: DurationMs = DurationMs::new(2_000);
+/// Retry delay of a submission that is refused because [`JOB_LIMIT_COUNT`] is reached. Jobs last
+/// some seconds, so an earlier retry would rarely succeed.
+const JOB_LIMIT_RETRY_DELAY: DurationMs = DurationMs::new(2_000);
 
-/// What a call leads to.
+/// Outcome of planning a call.
 #[derive(Debug)]
 pub(crate) enum Plan {
-    Answer(Response),
+    Respond(Response),
     Propose(Command),
 }
 
-/// Decides on a call by a state that is known to be the newest.
+/// Plans a call; `state` must include every command that was committed before the call arrived.
 pub(crate) fn plan(state: &QueueState, request: Request, now_unix_ms: u64) -> Plan {
     match request {
         Request::Submit(target, spec) => plan_submit(state, &target, *spec, now_unix_ms),
-        Request::Read(target) => Plan::Answer(read(state, &target)),
+        Request::Read(target) => Plan::Respond(read(state, &target)),
         Request::Cancel(target) => plan_cancel(state, &target, now_unix_ms),
         Request::Configure(configuration) => match configuration.validate() {
             Ok(()) => Plan::Propose(Command::Configure(configuration)),
-            Err(problem) => Plan::Answer(invalid(&problem)),
+            Err(error) => Plan::Respond(invalid(&error)),
         },
         Request::ReadConfiguration => {
-            let document = state.configuration.current().map(|held| Arc::clone(&held.document));
-            Plan::Answer(Response::Configuration(document))
+            let document =
+                state.configuration.current().map(|current| Arc::clone(&current.document));
+            Plan::Respond(Response::Configuration(document))
         }
-        Request::Join { .. } => Plan::Answer(Response::Joined),
-        Request::Ping => Plan::Answer(Response::Pong),
+        Request::Join { .. } => Plan::Respond(Response::Joined),
+        Request::Ping => Plan::Respond(Response::Pong),
     }
 }
 
-/// What a committed command answers its caller.
-pub(crate) fn answer(applied: Applied) -> Response {
+/// Returns the response to the caller of a committed command.
+pub(crate) fn response_for(applied: Applied) -> Response {
     match applied {
         Applied::Submitted(_) => Response::Accepted,
         Applied::Cancelled(CancelOutcome::NotFound) => Response::NoSuchJob,
@@ -56,15 +58,15 @@
     }
 }
 
-fn invalid<Problem>(problem: &Problem) -> Response
+fn invalid<Error>(error: &Error) -> Response
 where
-    Problem: ToString,
+    Error: ToString,
 {
-    Response::Invalid(Arc::from(problem.to_string()))
+    Response::Invalid(Arc::from(error.to_string()))
 }
 
-/// The queue that a call addresses and the job that it names.
-fn job_of<'a>(
+/// Resolves the queue and the job that a call addresses, and checks the caller's access.
+fn resolve_target<'a>(
     state: &'a QueueState,
     target: &'a CallTarget,
 ) -> Result<(Access<'a>, JobName), Response> {
@@ -72,23 +74,23 @@
         .configuration
         .authorise(&target.host, &target.path, target.key.as_ref())
         .map_err(Response::Denied)?;
-    let name = JobName::new(access.remainder).map_err(|problem| invalid(&problem))?;
+    let name = JobName::new(access.remainder).map_err(|error| invalid(&error))?;
     Ok((access, name))
 }
 
 fn plan_submit(state: &QueueState, target: &CallTarget, spec: JobSpec, now_unix_ms: u64) -> Plan {
-    let (access, name) = match job_of(state, target) {
+    let (access, name) = match resolve_target(state, target) {
         Ok(found) => found,
-        Err(refusal) => return Plan::Answer(refusal),
+        Err(refusal) => return Plan::Respond(refusal),
     };
     if state.jobs.job(&name).is_some() {
-        return Plan::Answer(Response::Accepted);
+        return Plan::Respond(Response::Accepted);
     }
-    if let Err(problem) = spec.validate() {
-        return Plan::Answer(invalid(&problem));
+    if let Err(error) = spec.validate() {
+        return Plan::Respond(invalid(&error));
     }
     if state.jobs.jobs().count() >= JOB_LIMIT_COUNT {
-        return Plan::Answer(Response::Busy { retry_after_ms: FULL_RETRY });
+        return Plan::Respond(Response::Busy { retry_after_ms: JOB_LIMIT_RETRY_DELAY });
     }
     let queue = access.queue;
     Plan::Propose(Command::Submit(Box::new(JobSubmission {
@@ -106,13 +108,13 @@
 }
 
 fn plan_cancel(state: &QueueState, target: &CallTarget, now_unix_ms: u64) -> Plan {
-    let name = match job_of(state, target) {
+    let name = match resolve_target(state, target) {
         Ok((_, name)) => name,
-        Err(refusal) => return Plan::Answer(refusal),
+        Err(refusal) => return Plan::Respond(refusal),
     };
     match state.jobs.job(&name) {
-        None => Plan::Answer(Response::NoSuchJob),
-        Some(job) if job.phase.is_final() => Plan::Answer(Response::Cancelled),
+        None => Plan::Respond(Response::NoSuchJob),
+        Some(job) if job.phase.is_final() => Plan::Respond(Response::Cancelled),
         Some(_) => Plan::Propose(Command::Cancel { name, now_unix_ms }),
     }
 }
--- a/crates/yuccatack_queue_control/src/error.rs
+++ b/crates/yuccatack_queue_control/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the process ended.
+//! Errors that stop a replica.
 
 use std::net::SocketAddr;
 
@@ -6,55 +6,55 @@
 use yuccatack_replication::{ReplicaFailure, StartError};
 use yuccatack_storage::StorageError;
 
-/// A failure that ends the process.
+/// Failure that stops the replica and, unless the disk is full, ends the process.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
-    /// The address is taken or not the machine's.
+    /// The address is in use or does not belong to this machine.
     #[snafu(display("cannot listen on {address}: {source}; free the port or correct the setting"))]
     Listen {
-        /// The address.
+        /// Configured listen address of the replica.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The data folder cannot be read.
-    #[snafu(display("cannot read the data folder: {source}"))]
+    /// The replica's ID cannot be read from the data folder.
+    #[snafu(display("cannot read the replica ID from the data folder: {source}"))]
     Folder {
-        /// What is wrong.
+        /// Error of the storage, with the path of the file.
         source: StorageError,
     },
-    /// The replica cannot start.
-    #[snafu(display("cannot start the replica: {source}"))]
+    /// Replication cannot start from the data folder.
+    #[snafu(display("cannot start replication: {source}"))]
     Replication {
-        /// What is wrong.
+        /// Error of the start of replication, which includes the remedy.
         source: StartError,
     },
-    /// The actor cannot start.
+    /// The control actor cannot be spawned.
     #[snafu(display("cannot start the control actor: {detail}; start the process again"))]
     Actor {
-        /// What went wrong.
+        /// Message of the actor runtime.
         detail: String,
     },
-    /// The log has stopped.
+    /// Replication ended by itself for another reason than a full disk.
     #[snafu(display("the replicated log has stopped; see the error logged before"))]
     LogStopped,
-    /// The disk is full.
+    /// Replication ended by itself because the disk is full.
     #[snafu(display("{detail}"))]
     DiskFull {
-        /// The storage's message with its remedy.
+        /// Message of the storage, which includes the remedy.
         detail: String,
     },
-    /// The server has stopped.
+    /// The gRPC server ended by itself.
     #[snafu(display("the server stopped: {detail}; start the process again"))]
     Server {
-        /// What went wrong.
+        /// Message of the server or of its task.
         detail: String,
     },
 }
 
 impl ControlError {
-    /// Why the log stopped by itself.
+    /// Returns the error for a replica whose replication ended by itself with `failure`.
     pub fn from_failure(failure: Option<ReplicaFailure>) -> Self {
         match failure {
             Some(ReplicaFailure::DiskFull { detail }) => Self::DiskFull { detail },
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether the same process can go on once there is space again.
+    /// Returns `true` if the replica can restart in the same process once there is disk space.
     pub fn is_disk_full(&self) -> bool {
         let cause = match self {
             Self::DiskFull { .. } => return true,
--- a/crates/yuccatack_queue_control/src/join.rs
+++ b/crates/yuccatack_queue_control/src/join.rs
@@ -1,4 +1,4 @@
-//! How a replica asks to become a member.
+//! Requests membership of the replication group for this replica.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,17 +8,20 @@
 use yuccatack_queue_client::protocol::Request;
 use yuccatack_replication::{ReplicaId, ReplicationHandle, RoleName};
 
-/// How often a replica outside the group asks.
-const ASK_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval between membership checks and between repeated join requests.
+const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long one question may take.
-const ASK_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout of one join request, which includes the search for the leader.
+const JOIN_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A member without a leader for this long may have been replaced while it was away.
-const LEADERLESS_LIMIT: Duration = Duration::from_secs(2);
+/// Time without a known leader after which a member requests to join again, since the group may
+/// have replaced it while it was down.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks the group for membership whenever this replica is not part of it.
-pub(crate) async fn keep_joined(
+/// Sends join requests to the leader while this replica is not, or may no longer be, a member.
+///
+/// A founder whose group has not formed yet waits for [`LEADERLESS_TIMEOUT`] first.
+pub(crate) async fn maintain_joined(
     replication: ReplicationHandle,
     client: QueueClient,
     replica: ReplicaId,
@@ -26,21 +29,24 @@
     is_founder: bool,
 ) {
     let status = replication.status();
-    let mut last_led = Instant::now();
+    let mut leader_known_at = Instant::now();
     loop {
-        sleep(ASK_INTERVAL).await;
-        let outside = {
+        sleep(JOIN_CHECK_INTERVAL).await;
+        let needs_to_join = {
             let status = status.borrow();
             if status.leader.is_some() {
-                last_led = Instant::now();
+                leader_known_at = Instant::now();
             }
-            let unformed = status.role == RoleName::Unformed && !is_founder;
-            unformed || last_led.elapsed() > LEADERLESS_LIMIT
+            let is_unformed = status.role == RoleName::Unformed && !is_founder;
+            is_unformed || leader_known_at.elapsed() > LEADERLESS_TIMEOUT
         };
-        if outside {
+        if needs_to_join {
             let request = Request::Join { replica_id: replica.get(), address };
-            if let Err(error) = client.call(&request, ASK_LIMIT).await {
-                log::info!(event = "join_not_answered"; "no leader took the request to join: {error}");
+            if let Err(error) = client.call(&request, JOIN_REQUEST_TIMEOUT).await {
+                log::info!(
+                    event = "join_not_answered";
+                    "no leader accepted the join request of this replica; retrying: {error}"
+                );
             }
         }
     }
--- a/crates/yuccatack_queue_control/src/lib.rs
+++ b/crates/yuccatack_queue_control/src/lib.rs
@@ -1,4 +1,5 @@
-//! The queue control process: the replicated configuration and jobs, and the leader's scheduling.
+//! Queue control process: replicates queue configuration and jobs, and schedules jobs on the
+//! leader.
 
 mod actor;
 mod agents;
@@ -16,6 +17,6 @@
 mod state;
 
 pub use error::ControlError;
-pub use identity::{Formation, replica_identity};
+pub use identity::{ReplicaIdentity, replica_identity};
 pub use membership::{MembershipView, next_change};
 pub use process::{ControlConfig, run};
--- a/crates/yuccatack_queue_control/src/membership.rs
+++ b/crates/yuccatack_queue_control/src/membership.rs
@@ -1,4 +1,4 @@
-//! Which replicas vote: joining, replacing wiped and lost ones.
+//! Membership changes of the replication group: adds replicas and replaces wiped and failed ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,29 +12,29 @@
 
 use crate::message::JoinRequest;
 
-/// How often the leader looks whether a change of membership is due.
+/// Interval at which the leader checks for a due membership change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the next change of membership follows from.
+/// Input of [`next_change`].
 #[derive(Clone, Debug, Default)]
 pub struct MembershipView {
-    /// Who votes.
+    /// Replicas that vote, with their addresses.
     pub voters: BTreeMap<ReplicaId, SocketAddr>,
-    /// Who receives the log and does not vote.
+    /// Replicas that receive the log but do not vote.
     pub learners: BTreeMap<ReplicaId, SocketAddr>,
-    /// The voters that have been silent for long.
+    /// Voters that have not responded for a long time.
     pub silent_voters: BTreeSet<ReplicaId>,
-    /// Who asked to become a member.
+    /// Replicas that requested to join and are not members yet.
     pub joins: BTreeMap<ReplicaId, SocketAddr>,
-    /// How many voters there are to be.
-    pub wanted_voter_count: usize,
+    /// Number of voters that the group grows to.
+    pub target_voter_count: usize,
 }
 
 impl MembershipView {
     fn from_status(
         status: &ReplicationStatus,
         joins: &BTreeMap<ReplicaId, SocketAddr>,
-        wanted_voter_count: usize,
+        target_voter_count: usize,
     ) -> Self {
         let learners = status.learners.iter().map(|(replica, learner)| (*replica, learner.address));
         Self {
@@ -42,12 +42,15 @@
             learners: learners.collect(),
             silent_voters: status.silent_voters.clone(),
             joins: joins.clone(),
-            wanted_voter_count,
+            target_voter_count,
         }
     }
 
-    fn holder(members: &BTreeMap<ReplicaId, SocketAddr>, address: SocketAddr) -> Option<ReplicaId> {
-        members.iter().find(|(_, held)| **held == address).map(|(replica, _)| *replica)
+    fn member_at(
+        members: &BTreeMap<ReplicaId, SocketAddr>,
+        address: SocketAddr,
+    ) -> Option<ReplicaId> {
+        members.iter().find(|(_, member)| **member == address).map(|(replica, _)| *replica)
     }
 
     fn is_member(&self, replica: ReplicaId) -> bool {
@@ -55,41 +58,41 @@
     }
 }
 
-/// The change that is due, if any.
+/// Returns the membership change that is due, if any.
 ///
-/// Voters are never removed because of silence alone, since in a split silence proves nothing; a
-/// silent one gives way only to a learner that holds the log.
+/// A voter that does not respond is not removed for that alone, since in a network partition it may
+/// still be running. Only a learner that has received the log replaces it.
 pub fn next_change(view: &MembershipView) -> Option<MembershipChange> {
     for (replica, address) in &view.joins {
         if view.is_member(*replica) {
             continue;
         }
-        // A learner at the same address lost its folder; nothing of it is left.
-        if let Some(old) = MembershipView::holder(&view.learners, *address) {
+        // The new replica has the address of a learner, so the learner's data folder was wiped.
+        if let Some(old) = MembershipView::member_at(&view.learners, *address) {
             return Some(MembershipChange::RemoveLearner { replica: old });
         }
         return Some(MembershipChange::AddLearner { replica: *replica, address: *address });
     }
     for (replica, address) in &view.learners {
-        let wiped = MembershipView::holder(&view.voters, *address);
-        if wiped.is_some() {
-            return Some(MembershipChange::Promote { replica: *replica, replaces: wiped });
+        let wiped_voter = MembershipView::member_at(&view.voters, *address);
+        if wiped_voter.is_some() {
+            return Some(MembershipChange::Promote { replica: *replica, replaces: wiped_voter });
         }
-        if view.voters.len() < view.wanted_voter_count {
+        if view.voters.len() < view.target_voter_count {
             return Some(MembershipChange::Promote { replica: *replica, replaces: None });
         }
-        if let Some(silent) = view.silent_voters.first() {
-            return Some(MembershipChange::Promote { replica: *replica, replaces: Some(*silent) });
+        if let Some(voter) = view.silent_voters.first() {
+            return Some(MembershipChange::Promote { replica: *replica, replaces: Some(*voter) });
         }
     }
     None
 }
 
-/// Carries out one change at a time while this replica leads.
-pub(crate) async fn keep_membership(
+/// Carries out due membership changes, one at a time, while this replica leads.
+pub(crate) async fn maintain_membership(
     replication: ReplicationHandle,
     mut requests: mpsc::Receiver<JoinRequest>,
-    wanted_voter_count: usize,
+    target_voter_count: usize,
 ) {
     let status = replication.status();
     let mut joins = BTreeMap::new();
@@ -100,7 +103,7 @@
             _ = checks.tick() => {}
             request = requests.recv() => match request {
                 Some(JoinRequest { replica, address }) => {
-                    joins.retain(|_, held| *held != address);
+                    joins.retain(|_, joining| *joining != address);
                     joins.insert(replica, address);
                 }
                 None => return,
@@ -115,16 +118,19 @@
             joins.retain(|replica, _| {
                 !status.voters.contains_key(replica) && !status.learners.contains_key(replica)
             });
-            next_change(&MembershipView::from_status(&status, &joins, wanted_voter_count))
+            next_change(&MembershipView::from_status(&status, &joins, target_voter_count))
         };
         let Some(change) = change else { continue };
         match replication.change_membership(change).await {
             Ok(()) => {
-                log::info!(event = "membership_changed", change:? = change; "members changed")
+                log::info!(
+                    event = "membership_changed", change:? = change;
+                    "the members of the replication group changed"
+                )
             }
             Err(error) => log::warn!(
                 event = "membership_not_changed", change:? = change;
-                "the members stay as they are: {error}"
+                "the membership change failed and the members are unchanged: {error}"
             ),
         }
     }
--- a/crates/yuccatack_queue_control/src/message.rs
+++ b/crates/yuccatack_queue_control/src/message.rs
@@ -1,4 +1,4 @@
-//! What the control actor is told.
+//! Messages of the control actor.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,8 @@
 use yuccatack_queue_client::protocol::{LeaderFrame, Request, Response};
 use yuccatack_replication::{Committed, ReplicaId};
 
-/// Numbers the streams of agents within one process.
+/// Identifies an agent's stream within this process, so that messages of a replaced stream are
+/// ignored.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct StreamId(pub u64);
 
@@ -29,20 +30,20 @@
         node: NodeName,
         message: AgentMessage,
     },
-    AgentGone {
+    AgentDisconnected {
         stream: StreamId,
         node: NodeName,
     },
-    /// Decides on everything that was in the mailbox before it.
+    /// Runs one scheduling pass that covers every message queued before this one.
     Schedule,
     Tick,
-    /// Answers when no call waits any more, after which the process may end.
+    /// Replies once no call is pending, so that the process can exit.
     Drain {
         reply: oneshot::Sender<()>,
     },
 }
 
-/// A replica that asks to become a member.
+/// Request of a replica to become a member of the group.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JoinRequest {
     pub replica: ReplicaId,
--- a/crates/yuccatack_queue_control/src/observe.rs
+++ b/crates/yuccatack_queue_control/src/observe.rs
@@ -1,4 +1,4 @@
-//! What the leader logs and counts of each committed command.
+//! Log lines and metrics of committed commands, written by the leader.
 
 use std::collections::BTreeSet;
 
@@ -12,9 +12,9 @@
 use crate::command::Command;
 use crate::state::{Applied, QueueState};
 
-/// Logs what a command is about to decide; `state` is the one before it. Returns the unfinished jobs
-/// that the command may end.
-pub(crate) fn log_command(
+/// Logs a command that is about to be applied to `state`. Returns the unfinished jobs that the
+/// command may end.
+pub(crate) fn log_before_apply(
     command: &Command,
     state: &QueueState,
     index: LogIndex,
@@ -27,7 +27,7 @@
             queue = submission.queue.as_str(), priority = submission.priority,
             steps:% = submission.spec, index = index.get(),
             configuration = state.configuration.version().get();
-            "a job is stored"
+            "a submitted job is stored and will be scheduled"
         ),
         Command::Change { changes, .. } => {
             for change in changes {
@@ -41,7 +41,7 @@
                 }
             }
         }
-        Command::Cancel { .. } | Command::Configure(_) | Command::Forget(_) => {}
+        Command::Cancel { .. } | Command::Configure(_) | Command::RemoveEnded(_) => {}
     }
     unfinished
 }
@@ -49,7 +49,7 @@
 fn log_end(end: &RunEnd, index: LogIndex, metrics: &Metrics) {
     log::info!(
         event = "run_ended", run:% = end.run, outcome:? = end.outcome, index = index.get();
-        "a run is over"
+        "a run has ended and its outcome is stored"
     );
     metrics.queues.count_run_end(match end.outcome {
         RunOutcome::Done => RunEndKind::Done,
@@ -62,9 +62,9 @@
     });
 }
 
-/// Logs what a command has decided; `state` is the one after it, and `unfinished` are the jobs that
-/// had not ended before.
-pub(crate) fn log_applied(
+/// Logs the result of a command that was applied. `state` is the state after it, and `unfinished`
+/// is the return value of [`log_before_apply`].
+pub(crate) fn log_after_apply(
     command: &Command,
     applied: Applied,
     unfinished: &BTreeSet<JobName>,
@@ -74,12 +74,12 @@
     match (command, applied) {
         (Command::Cancel { name, .. }, Applied::Cancelled(outcome)) => log::info!(
             event = "job_cancelled", job = name.as_str(), outcome:? = outcome, index = index.get();
-            "a cancellation was decided"
+            "a request to cancel the job was applied"
         ),
         (Command::Configure(configuration), Applied::Configured(acceptance)) => log::info!(
             event = "configuration_in_force", version = configuration.version.get(),
             outcome:? = acceptance, index = index.get();
-            "a configuration was decided"
+            "a submitted configuration was put in force or superseded by a newer one"
         ),
         (Command::Change { .. }, _) => {
             for name in unfinished {
@@ -88,7 +88,7 @@
                     log::info!(
                         event = "job_ended", job = name.as_str(), phase:? = job.phase,
                         index = index.get();
-                        "a job has ended"
+                        "a job has ended and starts no more runs"
                     );
                 }
             }
--- a/crates/yuccatack_queue_control/src/process.rs
+++ b/crates/yuccatack_queue_control/src/process.rs
@@ -1,4 +1,4 @@
-//! Start, service and graceful shutdown of the process.
+//! Start, operation and graceful shutdown of a control replica.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,55 +19,56 @@
 
 use crate::actor::{ControlActor, ControlArguments};
 use crate::error::{ActorSnafu, ControlError, ListenSnafu, ReplicationSnafu};
-use crate::identity::{Formation, replica_identity};
-use crate::join::keep_joined;
-use crate::membership::keep_membership;
+use crate::identity::{ReplicaIdentity, replica_identity};
+use crate::join::maintain_joined;
+use crate::membership::maintain_membership;
 use crate::message::ControlMessage;
 use crate::service::QueueService;
 
-/// How often the leader decides without any event; leases and due times pass silently.
+/// Interval of scheduling passes without any event; no message announces that a lease has expired
+/// or that a scheduled job is due.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often a leader confirms its lead. Half a dozen are lost before an election.
-const HEARTBEAT_MS: u64 = 100;
+/// Interval of the leader's heartbeats. About six in a row must be lost before an election starts.
+const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
-/// The shortest election timeout. It exceeds a sync of a slow disk, so that a slow machine keeps
-/// its lead.
+/// Shortest election timeout. It exceeds a sync of a slow disk, so that a leader on a slow machine
+/// keeps its leadership.
 const ELECTION_TIMEOUT_MS: u64 = 600;
 
-/// How many entries lie between snapshots. An entry holds at most one configuration, and a few
+/// Number of log entries between snapshots. An entry holds at most one configuration, and a few
 /// hundred of these fit on the smallest disk.
 const SNAPSHOT_ENTRY_COUNT: u64 = 500;
 
-/// How long waiting calls may take after the shutdown began.
-const DRAIN_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time that pending calls get to complete after the shutdown has begun.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How many replicas may ask for membership at once.
+/// Number of join requests that may be queued; a replica repeats a dropped one.
 const JOIN_QUEUE_LENGTH: usize = 16;
 
-/// Where and how one replica runs.
+/// Configuration of one control replica.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
-    /// Where other nodes reach this replica.
+    /// Address on which this replica listens and at which other nodes reach it.
     pub address: SocketAddr,
-    /// The folder with all durable state.
+    /// Folder of the log, the snapshots and the replica's ID.
     pub data_folder: PathBuf,
-    /// Replicas that may be members; they found the group on the first start.
+    /// Addresses of replicas that may be members. On the first start they found the group.
     pub seeds: watch::Receiver<Vec<SocketAddr>>,
-    /// Whether the deployment starts for the first time.
+    /// `true` if the deployment starts for the first time and has no replication group yet.
     pub first_start: bool,
-    /// How many replicas may be lost at once.
+    /// Number `n` of replicas that may fail at once; the group grows to `2n + 1` voters.
     pub tolerated_loss_count: usize,
-    /// The times that decisions depend on.
+    /// Lease and stop times that the leader schedules with.
     pub dispatch: DispatchSettings,
 }
 
-/// How long a replica with a full disk waits before it opens its folder again.
-const DISK_FULL_RETRY: Duration = Duration::from_secs(1);
+/// Delay before a replica that stopped on a full disk opens its data folder again.
+const DISK_FULL_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Runs a replica until the shutdown, which hands the lead over and answers waiting calls.
+/// Runs a replica until shutdown, which transfers the leadership and answers pending calls.
 ///
-/// A full disk stops the replica but not the process, which goes on as soon as there is space.
+/// A full disk stops the replica but not the process: the replica restarts once there is space.
 pub async fn run(
     config: ControlConfig,
     client: QueueClient,
@@ -79,13 +80,16 @@
             run_replica(config.clone(), client.clone(), metrics.clone(), shutdown.clone());
         match replica.await {
             Err(error) if error.is_disk_full() => {
-                log::error!(event = "disk_full"; "the replica waits for space: {error}");
+                log::error!(
+                    event = "disk_full";
+                    "the replica stopped and restarts once there is disk space: {error}"
+                );
             }
-            ended => return ended,
+            result => return result,
         }
         tokio::select! {
             () = shutdown.wait_for(ShutdownPhase::Draining) => return Ok(()),
-            () = sleep(DISK_FULL_RETRY) => {}
+            () = sleep(DISK_FULL_RETRY_DELAY) => {}
         }
     }
 }
@@ -99,10 +103,10 @@
     let address = config.address;
     let listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
     let seeds = config.seeds.borrow().clone();
-    let formation = replica_identity(&config.data_folder, address, &seeds, config.first_start)?;
-    let is_founder = !formation.founders.is_empty();
-    let replica = formation.replica;
-    let replication_config = replication_config(&config, formation);
+    let identity = replica_identity(&config.data_folder, address, &seeds, config.first_start)?;
+    let is_founder = !identity.founders.is_empty();
+    let replica = identity.replica;
+    let replication_config = replication_config(&config, identity);
     let (replication, committed, replication_service) =
         yuccatack_replication::start(replication_config).await.context(ReplicationSnafu)?;
     let (joins, join_requests) = mpsc::channel(JOIN_QUEUE_LENGTH);
@@ -115,28 +119,28 @@
     let (actor, actor_task) = Actor::spawn(None, ControlActor, arguments)
         .await
         .map_err(|error| ActorSnafu { detail: error.to_string() }.build())?;
-    let wanted_voter_count = 2 * config.tolerated_loss_count + 1;
+    let target_voter_count = 2 * config.tolerated_loss_count + 1;
     let background = [
         tokio::spawn(tick(actor.clone())),
-        tokio::spawn(keep_membership(replication.clone(), join_requests, wanted_voter_count)),
-        tokio::spawn(keep_joined(replication.clone(), client, replica, address, is_founder)),
+        tokio::spawn(maintain_membership(replication.clone(), join_requests, target_voter_count)),
+        tokio::spawn(maintain_joined(replication.clone(), client, replica, address, is_founder)),
     ];
-    let mut feed = tokio::spawn(forward_committed(committed, actor.clone()));
+    let mut forwarder = tokio::spawn(forward_committed(committed, actor.clone()));
     let mut server = tokio::spawn(serve(listener, actor.clone(), replication_service));
     log::info!(
         event = "queue_control_started", address:% = address, replica = replica.get(),
         founder = is_founder;
-        "the replica answers"
+        "the control replica accepts calls"
     );
     let result = tokio::select! {
         () = shutdown.wait_for(ShutdownPhase::Draining) => {
             drain(&actor, &replication).await;
             Ok(())
         }
-        _ = &mut feed => {
+        _ = &mut forwarder => {
             Err(ControlError::from_failure(replication.status().borrow().failure.clone()))
         }
-        ended = &mut server => Err(server_failure(ended)),
+        result = &mut server => Err(server_failure(result)),
     };
     for task in background {
         task.abort();
@@ -144,17 +148,17 @@
     server.abort();
     replication.stop().await;
     actor.stop(None);
-    // The actor's result was reported by whatever stopped it.
+    // `result` already reports any failure that stopped the actor.
     let _ = actor_task.await;
     result
 }
 
-fn replication_config(config: &ControlConfig, formation: Formation) -> ReplicationConfig {
+fn replication_config(config: &ControlConfig, identity: ReplicaIdentity) -> ReplicationConfig {
     ReplicationConfig {
-        replica: formation.replica,
+        replica: identity.replica,
         address: config.address,
-        initial_voters: formation.founders,
-        heartbeat_ms: HEARTBEAT_MS,
+        initial_voters: identity.founders,
+        heartbeat_ms: HEARTBEAT_INTERVAL_MS,
         election_timeout_ms: ELECTION_TIMEOUT_MS,
         snapshot_entry_count: SNAPSHOT_ENTRY_COUNT,
         data_folder: config.data_folder.clone(),
@@ -163,7 +167,7 @@
 
 async fn tick(actor: ActorRef<ControlMessage>) {
     let mut ticks = interval(TICK_INTERVAL);
-    // After a pause of the process one tick is enough; a burst would repeat the same decision.
+    // One tick after a pause of the process is enough; a burst would repeat the same pass.
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -186,26 +190,29 @@
 }
 
 fn server_failure(
-    ended: Result<Result<(), tonic::transport::Error>, tokio::task::JoinError>,
+    result: Result<Result<(), tonic::transport::Error>, tokio::task::JoinError>,
 ) -> ControlError {
-    let detail = match ended {
-        Ok(Ok(())) => "it ended".to_owned(),
+    let detail = match result {
+        Ok(Ok(())) => "it ended without an error".to_owned(),
         Ok(Err(error)) => error.to_string(),
         Err(error) => error.to_string(),
     };
     ControlError::Server { detail }
 }
 
-/// Hands the lead over and waits until every call that was accepted has its answer.
+/// Transfers the leadership and waits until every accepted call has its response.
 async fn drain(
     actor: &ActorRef<ControlMessage>,
     replication: &yuccatack_replication::ReplicationHandle,
 ) {
     replication.transfer_leadership().await;
-    let (reply, finished) = oneshot::channel();
+    let (reply, drained) = oneshot::channel();
     if actor.cast(ControlMessage::Drain { reply }).is_ok()
-        && timeout(DRAIN_LIMIT, finished).await.is_err()
+        && timeout(DRAIN_TIMEOUT, drained).await.is_err()
     {
-        log::warn!(event = "calls_left"; "calls were left unanswered at the end of the drain");
+        log::warn!(
+            event = "calls_left";
+            "the drain timed out; pending calls end without a response"
+        );
     }
 }
--- a/crates/yuccatack_queue_control/src/service.rs
+++ b/crates/yuccatack_queue_control/src/service.rs
@@ -1,4 +1,4 @@
-//! The service that entries, agents and other replicas call.
+//! gRPC service for entries, agents and other replicas.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,10 +16,10 @@
 
 use crate::message::{ControlMessage, StreamId};
 
-/// How many frames may wait for one agent.
+/// Number of frames that may be queued for one agent.
 const FRAME_QUEUE_LENGTH: usize = 64;
 
-/// The largest message; a whole configuration must fit.
+/// Largest message; a whole configuration must fit into one.
 const MESSAGE_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 
 pub(crate) struct QueueService {
@@ -35,7 +35,7 @@
     }
 }
 
-fn stopped() -> Status {
+fn stopped_status() -> Status {
     Status::unavailable("the replica has stopped; call another one")
 }
 
@@ -44,9 +44,9 @@
     async fn call(&self, request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
         let request = protocol::Request::try_from(request.into_inner())
             .map_err(|error| Status::failed_precondition(error.to_string()))?;
-        let (reply, answer) = oneshot::channel();
-        self.actor.cast(ControlMessage::Call { request, reply }).map_err(|_| stopped())?;
-        let response = answer.await.map_err(|_| stopped())?;
+        let (reply, response) = oneshot::channel();
+        self.actor.cast(ControlMessage::Call { request, reply }).map_err(|_| stopped_status())?;
+        let response = response.await.map_err(|_| stopped_status())?;
         let envelope =
             Envelope::try_from(&response).map_err(|error| Status::internal(error.to_string()))?;
         Ok(Response::new(envelope))
@@ -59,14 +59,14 @@
         request: Request<Streaming<Envelope>>,
     ) -> Result<Response<Self::AttachStream>, Status> {
         let mut reports = request.into_inner();
-        let first = reports.message().await?.ok_or_else(stopped)?;
+        let first = reports.message().await?.ok_or_else(stopped_status)?;
         let Ok(AgentFrame::Hello(node)) = AgentFrame::try_from(first) else {
             return Err(Status::failed_precondition("the first frame must name the node"));
         };
         let stream = StreamId(self.next_stream.fetch_add(1, Ordering::Relaxed));
         let (frames, queued) = mpsc::channel::<LeaderFrame>(FRAME_QUEUE_LENGTH);
         let connected = ControlMessage::AgentConnected { stream, node: node.clone(), frames };
-        self.actor.cast(connected).map_err(|_| stopped())?;
+        self.actor.cast(connected).map_err(|_| stopped_status())?;
         let actor = self.actor.clone();
         tokio::spawn(async move {
             while let Ok(Some(envelope)) = reports.message().await {
@@ -76,8 +76,8 @@
                     return;
                 }
             }
-            // The actor may have stopped first.
-            let _ = actor.cast(ControlMessage::AgentGone { stream, node });
+            // The actor may have stopped already.
+            let _ = actor.cast(ControlMessage::AgentDisconnected { stream, node });
         });
         let frames = ReceiverStream::new(queued).map(|frame| {
             Envelope::try_from(&frame).map_err(|error| Status::internal(error.to_string()))
--- a/crates/yuccatack_queue_control/src/state.rs
+++ b/crates/yuccatack_queue_control/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state.
+//! Replicated state machine of queue configuration and jobs.
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::JobName;
@@ -8,20 +8,20 @@
 
 use crate::command::Command;
 
-/// How long an ended job can be asked for. The platform asks for two minutes.
-const RETENTION_MS: u64 = 10 * 60 * 1000;
+/// Time for which an ended job can still be read. The platform requires two minutes.
+const ENDED_JOB_RETENTION_MS: u64 = 10 * 60 * 1000;
 
-/// How many jobs one command drops at most, so that it stays small.
-const FORGET_LIMIT_COUNT: usize = 256;
+/// Maximum number of jobs that one command removes, which bounds the size of its log entry.
+const REMOVAL_LIMIT_COUNT: usize = 256;
 
-/// Everything that the log decides.
+/// State that results from applying the log; also the content of a snapshot.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct QueueState {
     pub configuration: ConfigurationStore,
     pub jobs: JobTable,
 }
 
-/// What a command did.
+/// Result of applying a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Applied {
     Submitted(SubmitOutcome),
@@ -42,18 +42,18 @@
             }
             Command::Change { changes, now_unix_ms } => {
                 for change in changes {
-                    self.change(change, now_unix_ms);
+                    self.apply_change(change, now_unix_ms);
                 }
                 Applied::Changed
             }
-            Command::Forget(names) => {
+            Command::RemoveEnded(names) => {
                 self.jobs.remove_ended(&names);
                 Applied::Changed
             }
         }
     }
 
-    fn change(&mut self, change: TableChange, now_unix_ms: u64) {
+    fn apply_change(&mut self, change: TableChange, now_unix_ms: u64) {
         match change {
             TableChange::Begin(group) => {
                 self.jobs.begin(&group);
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Ended jobs that nobody asks for any more.
+    /// Returns ended jobs whose retention period is over, up to [`REMOVAL_LIMIT_COUNT`].
     pub fn expired_jobs(&self, now_unix_ms: u64) -> Vec<JobName> {
         let expired = self.jobs.jobs().filter(|job| {
             let ended = job.ended_at_unix_ms;
-            ended.is_some_and(|ended| now_unix_ms.saturating_sub(ended) > RETENTION_MS)
+            ended.is_some_and(|ended| now_unix_ms.saturating_sub(ended) > ENDED_JOB_RETENTION_MS)
         });
-        expired.map(|job| job.submission.name.clone()).take(FORGET_LIMIT_COUNT).collect()
+        expired.map(|job| job.submission.name.clone()).take(REMOVAL_LIMIT_COUNT).collect()
     }
 }
--- a/crates/yuccatack_queue_control/tests/member_changes.rs
+++ b/crates/yuccatack_queue_control/tests/member_changes.rs
@@ -1,4 +1,6 @@
-//! Guards against a group that shrinks because of silence, or keeps a wiped replica's vote.
+//! Guards against a group that loses voters because they do not respond, which a network partition
+//! causes as well, and against a replica that votes under its old ID after its data folder was
+//! wiped.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -21,25 +23,25 @@
     numbers.iter().map(|number| (id(u64::from(*number)), address(*number))).collect()
 }
 
-fn view(voters: &[u8], learners: &[u8], silent: &[u64]) -> MembershipView {
+fn view(voters: &[u8], learners: &[u8], unresponsive: &[u64]) -> MembershipView {
     MembershipView {
         voters: members(voters),
         learners: members(learners),
-        silent_voters: silent.iter().map(|number| id(*number)).collect::<BTreeSet<_>>(),
+        silent_voters: unresponsive.iter().map(|number| id(*number)).collect::<BTreeSet<_>>(),
         joins: BTreeMap::new(),
-        wanted_voter_count: 5,
+        target_voter_count: 5,
     }
 }
 
 #[test]
-fn grows_to_wanted() {
+fn grows_to_target() {
     let promote = MembershipChange::Promote { replica: id(4), replaces: None };
     assert_eq!(next_change(&view(&[1, 2, 3], &[4], &[])), Some(promote));
     assert_eq!(next_change(&view(&[1, 2, 3, 4, 5], &[6], &[])), None);
 }
 
 #[test]
-fn silence_alone_removes_nobody() {
+fn unresponsive_voters_kept() {
     assert_eq!(next_change(&view(&[1, 2, 3, 4, 5], &[], &[1, 2])), None);
     let replace = MembershipChange::Promote { replica: id(6), replaces: Some(id(2)) };
     assert_eq!(next_change(&view(&[1, 2, 3, 4, 5], &[6], &[2])), Some(replace));
@@ -64,17 +66,20 @@
 }
 
 #[test]
-fn wiped_folder_new_number() {
+fn wiped_folder_new_id() {
     let folder = tempfile::tempdir().unwrap();
     let seeds = [address(1), address(2), address(3)];
     let founder = replica_identity(folder.path(), address(1), &seeds, true).unwrap();
     assert_eq!(founder.founders.len(), 3);
     let later = replica_identity(folder.path(), address(1), &seeds, false).unwrap();
-    assert_ne!(later.replica, founder.replica, "a wiped folder would vote again");
-    assert!(later.founders.is_empty(), "a second group would be founded");
+    assert_ne!(
+        later.replica, founder.replica,
+        "a replica with a wiped folder kept its ID and could vote twice"
+    );
+    assert!(later.founders.is_empty(), "a later start founded a second group");
     DataFolder::open(folder.path(), founder.replica.get()).unwrap();
     let kept = replica_identity(folder.path(), address(1), &seeds, false).unwrap();
     assert_eq!(kept.replica, founder.replica);
     let outside = replica_identity(folder.path(), address(9), &seeds, true).unwrap();
-    assert!(outside.founders.is_empty(), "a machine that is no seed founded a group");
+    assert!(outside.founders.is_empty(), "a replica that is not a seed founded a group");
 }
--- a/crates/yuccatack_queue_control/tests/support/mod.rs
+++ b/crates/yuccatack_queue_control/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Control replicas and agents with stand-in workers in one process, on loopback ports.
+//! Test deployment of control replicas and agents with test doubles of workers, all in one process
+//! on loopback ports.
 
 #![allow(clippy::unwrap_used, dead_code, missing_docs)]
 
@@ -27,15 +28,15 @@
 use yuccatack_telemetry::Metrics;
 use yuccatack_worker_agent::{Agent, AgentConfig, Announcement};
 
-/// How long one step of a test may take, with an election on a busy machine.
-pub const STEP_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of one step of a test. It allows for an election on a busy machine.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub struct Replica {
     pub folder: TempDir,
     pub address: SocketAddr,
-    shutdown: ShutdownTrigger,
+    trigger: ShutdownTrigger,
     task: JoinHandle<()>,
 }
 
@@ -43,17 +44,18 @@
     pub replicas: Vec<Replica>,
     pub client: QueueClient,
     seeds: Vec<SocketAddr>,
-    /// Keep the agents' announcements and shutdowns open.
+    /// Kept so that the agents' announcement and shutdown channels stay open.
     agents: Vec<(mpsc::Sender<Announcement>, ShutdownTrigger)>,
 }
 
-/// A port that nothing else uses; the listener is dropped just before the replica binds it.
+/// Returns a loopback address with an unused port. The port is free again on return, so the caller
+/// must bind it soon.
 pub fn free_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-/// Founders are numbered by their address, so each has its own loopback address.
+/// Returns a loopback address per founder, since a founder's ID is derived from its IP address.
 fn founder_address(index: usize) -> SocketAddr {
     let host = format!("127.0.{}.{}:0", std::process::id() % 200 + 1, index + 1);
     std::net::TcpListener::bind(host).unwrap().local_addr().unwrap()
@@ -63,27 +65,27 @@
     folder: TempDir,
     address: SocketAddr,
     seeds: &[SocketAddr],
-    first: bool,
+    first_start: bool,
 ) -> Replica {
     let (_, seeds) = watch::channel(seeds.to_vec());
-    let (shutdown, shut) = shutdown_channel();
+    let (trigger, shutdown) = shutdown_channel();
     let config = ControlConfig {
         address,
         data_folder: folder.path().join("replica"),
         seeds: seeds.clone(),
-        first_start: first,
+        first_start,
         tolerated_loss_count: 1,
         dispatch: DispatchSettings::new(DurationMs::new(3_000), DurationMs::new(200)),
     };
     let client = QueueClient::new(seeds);
     let task = tokio::spawn(async move {
-        run(config, client, Metrics::new(), shut).await.unwrap();
+        run(config, client, Metrics::new(), shutdown).await.unwrap();
     });
-    Replica { folder, address, shutdown, task }
+    Replica { folder, address, trigger, task }
 }
 
 impl Deployment {
-    /// Three replicas that found a group.
+    /// Starts three replicas that found a group and waits until one leads.
     pub async fn start() -> Self {
         let seeds: Vec<SocketAddr> = (0..3).map(founder_address).collect();
         let replicas = seeds
@@ -93,18 +95,18 @@
         let (_, receiver) = watch::channel(seeds.clone());
         let client = QueueClient::new(receiver);
         let deployment = Self { replicas, client, seeds, agents: Vec::new() };
-        deployment.answered(&Request::Ping, |response| *response == Response::Pong).await;
+        deployment.call_until(&Request::Ping, |response| *response == Response::Pong).await;
         deployment
     }
 
-    /// Starts an agent whose worker needs `run_time` for each task.
+    /// Starts an agent and its worker, on which each task takes `run_time`.
     pub async fn add_worker(&mut self, name: &str, run_time: Duration) -> QueueWorkerHandle {
         let node = NodeName::new(name).unwrap();
         let (worker, handle) = QueueWorkerStandIn::spawn(run_time);
-        let (announcements, waiting) = mpsc::channel(8);
+        let (announcements, announced) = mpsc::channel(8);
         let (trigger, shutdown) = shutdown_channel();
         let config = AgentConfig { node: node.clone() };
-        tokio::spawn(Agent::run(config, worker, self.client.clone(), waiting, shutdown));
+        tokio::spawn(Agent::run(config, worker, self.client.clone(), announced, shutdown));
         let state = WorkerState {
             incarnation: WorkerIncarnation {
                 node,
@@ -124,47 +126,47 @@
         handle
     }
 
-    /// Puts the configuration with the test's queue in force.
+    /// Submits a configuration with one queue and one organisation that has `key`.
     pub async fn configure(&self, version: u64, key: &str) {
         let request = Request::Configure(Arc::new(configuration(version, key)));
-        self.answered(&request, |response| matches!(response, Response::Configured(_))).await;
+        self.call_until(&request, |response| matches!(response, Response::Configured(_))).await;
     }
 
-    /// Repeats a request until its answer is `wanted`.
-    pub async fn answered<Wanted>(&self, request: &Request, wanted: Wanted) -> Response
+    /// Repeats a request until `is_expected` accepts the response, and returns that response.
+    pub async fn call_until<Predicate>(&self, request: &Request, is_expected: Predicate) -> Response
     where
-        Wanted: Fn(&Response) -> bool,
+        Predicate: Fn(&Response) -> bool,
     {
-        let deadline = Instant::now() + STEP_LIMIT;
-        let mut last = None;
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        let mut last_result = None;
         while Instant::now() < deadline {
-            let answer = self.client.call(request, CALL_LIMIT).await;
-            if let Ok(response) = &answer
-                && wanted(response)
+            let result = self.client.call(request, CALL_TIMEOUT).await;
+            if let Ok(response) = &result
+                && is_expected(response)
             {
                 return response.clone();
             }
-            last = Some(answer);
+            last_result = Some(result);
             sleep(Duration::from_millis(20)).await;
         }
-        panic!("{request:?} was answered by {last:?}");
+        panic!("{request:?} got no expected response in time; the last result was {last_result:?}");
     }
 
     pub async fn submit(&self, job: &str, spec: JobSpec) {
         let request = Request::Submit(target(job), Box::new(spec));
-        self.answered(&request, |response| *response == Response::Accepted).await;
+        self.call_until(&request, |response| *response == Response::Accepted).await;
     }
 
-    pub async fn reaches(&self, job: &str, phase: JobPhase) {
-        let wanted = Response::Job(phase);
-        self.answered(&Request::Read(target(job)), |response| *response == wanted).await;
+    pub async fn wait_for_phase(&self, job: &str, phase: JobPhase) {
+        let expected = Response::Job(phase);
+        self.call_until(&Request::Read(target(job)), |response| *response == expected).await;
     }
 
-    /// Ends a replica without a drain, as a kill does, and returns its folder and address.
+    /// Aborts a replica without a drain, as a kill does, and returns its folder and address.
     pub async fn kill(&mut self, index: usize) -> (TempDir, SocketAddr) {
         let replica = self.replicas.remove(index);
         replica.task.abort();
-        // The task was aborted; its result tells nothing.
+        // The result is always the cancellation by `abort`.
         let _ = replica.task.await;
         (replica.folder, replica.address)
     }
@@ -177,7 +179,7 @@
     pub async fn stop_all(&mut self) -> Vec<(TempDir, SocketAddr)> {
         let mut stopped = Vec::new();
         for replica in self.replicas.drain(..) {
-            replica.shutdown.advance(ShutdownPhase::Draining);
+            replica.trigger.advance(ShutdownPhase::Draining);
             replica.task.await.unwrap();
             stopped.push((replica.folder, replica.address));
         }
--- a/crates/yuccatack_queue_control/tests/whole_path.rs
+++ b/crates/yuccatack_queue_control/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! Guards the path of a job through client, log, leader, agent and worker, also over kills.
+//! Guards against jobs that are lost or run twice on their way through client, log, leader, agent
+//! and worker, also when replicas are killed, restarted or replaced.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use support::{Deployment, STEP_LIMIT, job, target};
+use support::{Deployment, STEP_TIMEOUT, job, target};
 use tokio::time::{Instant, sleep};
 use yuccatack_queue_client::protocol::{Request, Response};
 use yuccatack_queues::AccessError;
@@ -18,18 +19,18 @@
     let mut deployment = Deployment::start().await;
     let read = Request::Read(target("early"));
     let refused = Response::Denied(AccessError::NotConfigured);
-    deployment.answered(&read, |response| *response == refused).await;
+    deployment.call_until(&read, |response| *response == refused).await;
     deployment.configure(1, "key").await;
     let worker = deployment.add_worker("w1", Duration::from_millis(100)).await;
     deployment.submit("a", job(4)).await;
-    // The same job arrives again, as after a lost answer.
+    // The client submits the job again, as after a lost response.
     deployment.submit("a", job(4)).await;
-    deployment.reaches("a", JobPhase::Completed).await;
+    deployment.wait_for_phase("a", JobPhase::Completed).await;
     let starts = worker.starts().await;
     assert_eq!(starts.len(), 4);
     assert_eq!(starts.iter().collect::<BTreeSet<_>>().len(), 4, "a task ran twice");
     deployment.submit("a", job(4)).await;
-    deployment.reaches("a", JobPhase::Completed).await;
+    deployment.wait_for_phase("a", JobPhase::Completed).await;
     assert_eq!(worker.starts().await.len(), 4, "a completed job ran again");
 }
 
@@ -39,17 +40,17 @@
     deployment.configure(1, "key").await;
     let worker = deployment.add_worker("w1", Duration::from_secs(60)).await;
     deployment.submit("a", job(1)).await;
-    deployment.reaches("a", JobPhase::Running).await;
+    deployment.wait_for_phase("a", JobPhase::Running).await;
     let cancel = Request::Cancel(target("a"));
-    deployment.answered(&cancel, |response| *response == Response::Cancelled).await;
-    deployment.reaches("a", JobPhase::Cancelled).await;
+    deployment.call_until(&cancel, |response| *response == Response::Cancelled).await;
+    deployment.wait_for_phase("a", JobPhase::Cancelled).await;
     let unknown = Request::Cancel(target("b"));
-    deployment.answered(&unknown, |response| *response == Response::NoSuchJob).await;
-    // The freed worker takes the next job, so the stop was carried out.
+    deployment.call_until(&unknown, |response| *response == Response::NoSuchJob).await;
+    // All nine runs only start if the stop freed the worker's capacity.
     deployment.submit("c", job(8)).await;
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     while worker.starts().await.len() < 9 {
-        assert!(Instant::now() < deadline, "the cancelled run kept its room");
+        assert!(Instant::now() < deadline, "the cancelled run still occupies the worker");
         sleep(Duration::from_millis(20)).await;
     }
 }
@@ -62,28 +63,28 @@
     deployment.configure(2, "other").await;
     let refused = Response::Denied(AccessError::UnknownKey);
     let submit = Request::Submit(target("b"), Box::new(job(1)));
-    assert_eq!(deployment.answered(&submit, |_| true).await, refused);
-    // An older version arrives again and changes nothing.
+    assert_eq!(deployment.call_until(&submit, |_| true).await, refused);
+    // An older configuration that arrives late must not restore the revoked key.
     deployment.configure(1, "key").await;
-    assert_eq!(deployment.answered(&submit, |_| true).await, refused);
+    assert_eq!(deployment.call_until(&submit, |_| true).await, refused);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_replicas_borne() {
+async fn killed_replicas_tolerated() {
     let mut deployment = Deployment::start().await;
     deployment.configure(1, "key").await;
     let worker = deployment.add_worker("w1", Duration::from_millis(300)).await;
     for round in 0..3 {
         let name = format!("job{round}");
         deployment.submit(&name, job(2)).await;
-        // Over the rounds each replica is killed once, the leader among them.
+        // Each replica is killed once, including the leader.
         let (folder, address) = deployment.kill(0).await;
-        deployment.reaches(&name, JobPhase::Completed).await;
+        deployment.wait_for_phase(&name, JobPhase::Completed).await;
         deployment.restart(folder, address);
     }
     let starts = worker.starts().await;
-    assert_eq!(starts.iter().collect::<BTreeSet<_>>().len(), starts.len(), "a run began twice");
-    assert_eq!(starts.len(), 6, "work was lost or done twice");
+    assert_eq!(starts.iter().collect::<BTreeSet<_>>().len(), starts.len(), "a run started twice");
+    assert_eq!(starts.len(), 6, "a task did not run or ran twice");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -94,30 +95,30 @@
     for (folder, address) in deployment.stop_all().await {
         deployment.restart(folder, address);
     }
-    deployment.reaches("a", JobPhase::Queued).await;
+    deployment.wait_for_phase("a", JobPhase::Queued).await;
     let read = Request::ReadConfiguration;
-    let answer = deployment.answered(&read, |r| matches!(r, Response::Configuration(_))).await;
-    assert_eq!(answer, Response::Configuration(Some("document 7".into())));
+    let response = deployment.call_until(&read, |r| matches!(r, Response::Configuration(_))).await;
+    assert_eq!(response, Response::Configuration(Some("document 7".into())));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn wiped_replica_replaced() {
     let mut deployment = Deployment::start().await;
     deployment.configure(1, "key").await;
-    // One after the other loses its folder; each successor must hold everything and vote.
+    // Each replica's folder is wiped in turn; the new member must hold all jobs and vote.
     for round in 0..3 {
         let name = format!("job{round}");
         deployment.submit(&name, job(1)).await;
         let (folder, address) = deployment.kill(0).await;
         drop(folder);
         deployment.restart(tempfile::tempdir().unwrap(), address);
-        // With one more replica down, the rest is a quorum only if the wiped one votes again.
+        // With another replica down, a quorum needs the vote of the wiped one's new member.
         let (kept, other) = deployment.kill(0).await;
-        deployment.reaches(&name, JobPhase::Queued).await;
+        deployment.wait_for_phase(&name, JobPhase::Queued).await;
         deployment.restart(kept, other);
         sleep(Duration::from_millis(1_500)).await;
     }
     for round in 0..3 {
-        deployment.reaches(&format!("job{round}"), JobPhase::Queued).await;
+        deployment.wait_for_phase(&format!("job{round}"), JobPhase::Queued).await;
     }
 }
