--- a/crates/yuccatack_view/examples/view_cost/counted.rs
+++ b/crates/yuccatack_view/examples/view_cost/counted.rs
@@ -1,4 +1,4 @@
-//! Connections that count their bytes.
+//! TCP connections that count the bytes read and written.
 
 use std::io;
 use std::pin::Pin;
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tonic::transport::server::{Connected, TcpConnectInfo};
 
-/// Bytes above TCP.
+/// Number of payload bytes of all TCP connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
     pub from_nodes: AtomicU64,
@@ -36,10 +36,10 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let length_before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        let read = buffer.filled().len() - before;
-        self.traffic.from_nodes.fetch_add(read as u64, Ordering::Relaxed);
+        let read_count = buffer.filled().len() - length_before;
+        self.traffic.from_nodes.fetch_add(read_count as u64, Ordering::Relaxed);
         Poll::Ready(Ok(()))
     }
 }
@@ -50,9 +50,9 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let written = ready!(Pin::new(&mut self.stream).poll_write(context, bytes))?;
-        self.traffic.to_nodes.fetch_add(written as u64, Ordering::Relaxed);
-        Poll::Ready(Ok(written))
+        let written_count = ready!(Pin::new(&mut self.stream).poll_write(context, bytes))?;
+        self.traffic.to_nodes.fetch_add(written_count as u64, Ordering::Relaxed);
+        Poll::Ready(Ok(written_count))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/yuccatack_view/examples/view_cost/main.rs
+++ b/crates/yuccatack_view/examples/view_cost/main.rs
@@ -1,7 +1,7 @@
-//! Measures the view on loopback: time until a change is in force everywhere, and the bytes,
-//! processor time and memory that it costs a node.
+//! Measures the view on loopback: the time until a change is in force everywhere, and the traffic,
+//! processor time and memory for each node.
 //!
-//! Start one process of each kind, with equal port and number of nodes:
+//! Start one process in each mode with the same port and number of nodes:
 //!
 //! ```text
 //! cargo run --release --package yuccatack_view --example view_cost -- serve PORT NODES CHANGES_PER_10_S
@@ -15,10 +15,10 @@
 
 use std::time::Duration;
 
-/// Left out of the measurement: connecting, and the 3.5 s that a new leader waits.
-const WARM_UP: Duration = Duration::from_secs(6);
-/// The measured time.
-const MEASURED: Duration = Duration::from_secs(15);
+/// Time before the measurement; it covers the connection of all nodes and the 3.5 s for which a new
+/// leader confirms no change.
+const WARM_UP_DURATION: Duration = Duration::from_secs(6);
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(15);
 
 #[tokio::main(worker_threads = 2)]
 async fn main() {
@@ -32,17 +32,17 @@
     }
 }
 
-/// The processor time of this process so far.
+/// Returns the user and system time that this process has used.
 fn processor_time_ms() -> u64 {
-    let text = std::fs::read_to_string("/proc/self/stat").unwrap();
-    // The fields after the parenthesised name; user and system time are the 12th and 13th there,
-    // in ticks of 10 ms.
-    let fields: Vec<&str> = text.rsplit_once(')').unwrap().1.split_whitespace().collect();
+    let stat = std::fs::read_to_string("/proc/self/stat").unwrap();
+    // After the name in parentheses, the 12th and 13th fields are the user and system time in ticks
+    // of 10 ms.
+    let fields: Vec<&str> = stat.rsplit_once(')').unwrap().1.split_whitespace().collect();
     10 * (fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap())
 }
 
-/// The resident memory of this process.
+/// Returns the resident memory of this process, for pages of 4 kB.
 fn resident_kb() -> u64 {
-    let text = std::fs::read_to_string("/proc/self/statm").unwrap();
-    text.split_whitespace().nth(1).unwrap().parse::<u64>().unwrap() * 4
+    let statm = std::fs::read_to_string("/proc/self/statm").unwrap();
+    statm.split_whitespace().nth(1).unwrap().parse::<u64>().unwrap() * 4
 }
--- a/crates/yuccatack_view/examples/view_cost/serve.rs
+++ b/crates/yuccatack_view/examples/view_cost/serve.rs
@@ -1,4 +1,4 @@
-//! The leader's side of the measurement.
+//! Leader of the measurement.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 use yuccatack_view::{PublishedRecord, RecordUpdate, ViewPublisher, ViewService};
 
 use crate::counted::{CountedStream, Traffic};
-use crate::{MEASURED, WARM_UP, processor_time_ms, resident_kb};
+use crate::{MEASUREMENT_DURATION, WARM_UP_DURATION, processor_time_ms, resident_kb};
 
-/// The organisations of the design size.
+/// Number of organisations in a cluster of the design size.
 const ORGANISATION_COUNT: u64 = 190;
 
 fn organisation(index: u64, revision: u64) -> PublishedRecord {
@@ -36,7 +36,7 @@
     let counted = Arc::clone(&traffic);
     let incoming = tokio_stream::wrappers::TcpListenerStream::new(listener).map(move |stream| {
         stream.map(|stream| {
-            // The option only fails on a connection that is gone already.
+            // This fails only if the connection is already closed.
             let _ = stream.set_nodelay(true);
             CountedStream { stream, traffic: Arc::clone(&counted) }
         })
@@ -67,22 +67,22 @@
     while (publisher.status().await.node_count as u64) < node_count {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    tokio::time::sleep(WARM_UP).await;
+    tokio::time::sleep(WARM_UP_DURATION).await;
     let bytes_before =
         (traffic.from_nodes.load(Ordering::Relaxed), traffic.to_nodes.load(Ordering::Relaxed));
-    let processor_before = processor_time_ms();
+    let processor_before_ms = processor_time_ms();
     let started = Instant::now();
     let mut times_ms = Vec::new();
     let mut revision = 1;
-    while started.elapsed() < MEASURED {
+    while started.elapsed() < MEASUREMENT_DURATION {
         if changes_per_10_s == 0 {
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         }
-        let due = started
+        let publish_at = started
             + Duration::from_secs(10) * u32::try_from(times_ms.len()).unwrap()
                 / u32::try_from(changes_per_10_s).unwrap();
-        tokio::time::sleep_until(due.into()).await;
+        tokio::time::sleep_until(publish_at.into()).await;
         revision += 1;
         times_ms.push(publish_and_wait(&publisher, revision).await);
     }
@@ -90,16 +90,17 @@
     let per_node = |now: u64, before: u64| (now - before) as f64 / elapsed_s / node_count as f64;
     let up = per_node(traffic.from_nodes.load(Ordering::Relaxed), bytes_before.0);
     let down = per_node(traffic.to_nodes.load(Ordering::Relaxed), bytes_before.1);
-    let processor = (processor_time_ms() - processor_before) as f64 / elapsed_s / 10.0;
+    let processor_percent = (processor_time_ms() - processor_before_ms) as f64 / elapsed_s / 10.0;
     println!(
         "leader: {node_count} nodes, {changes_per_10_s} changes in 10 s: {up:.0} B/s from and \
-         {down:.0} B/s to each node; leader {processor:.1}% of a core, {} kB",
+         {down:.0} B/s to each node; leader {processor_percent:.1}% of a core, {} kB",
         resident_kb()
     );
     times_ms.sort_by(f64::total_cmp);
-    if let (Some(middle), Some(most)) = (times_ms.get(times_ms.len() / 2), times_ms.last()) {
+    if let (Some(median_ms), Some(max_ms)) = (times_ms.get(times_ms.len() / 2), times_ms.last()) {
         println!(
-            "leader: in force everywhere after {middle:.0} ms (median), {most:.0} ms (maximum of {})",
+            "leader: in force everywhere after {median_ms:.0} ms (median), {max_ms:.0} ms \
+             (maximum of {})",
             times_ms.len()
         );
     }
--- a/crates/yuccatack_view/examples/view_cost/subscribe.rs
+++ b/crates/yuccatack_view/examples/view_cost/subscribe.rs
@@ -1,4 +1,4 @@
-//! The nodes' side of the measurement: two thirds are entries, one third are agents.
+//! Nodes of the measurement: two thirds are entries and one third are agents.
 
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
@@ -7,10 +7,10 @@
 use yuccatack_core::prelude::*;
 use yuccatack_view::{MinionState, MinionStatus, NodeRole, SubscriberConfig, ViewSubscriber};
 
-use crate::{MEASURED, WARM_UP, processor_time_ms, resident_kb};
+use crate::{MEASUREMENT_DURATION, WARM_UP_DURATION, processor_time_ms, resident_kb};
 
-/// How often an agent's load changes.
-const LOAD_CHANGE: Duration = Duration::from_millis(100);
+/// Interval between changes in the load of an agent.
+const LOAD_CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 
 fn config(index: u64, port: u16) -> SubscriberConfig {
     let role = if index % 3 == 2 { NodeRole::Agent } else { NodeRole::Entry };
@@ -37,7 +37,7 @@
 }
 
 pub async fn run(port: u16, node_count: u64) {
-    let started_with_kb = resident_kb();
+    let initial_resident_kb = resident_kb();
     let mut handles = Vec::new();
     for index in 0..node_count {
         let (sender, reports) = watch::channel(None);
@@ -51,22 +51,23 @@
     while !handles.iter().all(|handle| handle.is_fresh(Instant::now())) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    tokio::time::sleep(WARM_UP).await;
-    let processor_before = processor_time_ms();
+    tokio::time::sleep(WARM_UP_DURATION).await;
+    let processor_before_ms = processor_time_ms();
     let started = Instant::now();
-    let mut stale = 0_u64;
-    while started.elapsed() < MEASURED {
+    let mut stale_count = 0_u64;
+    while started.elapsed() < MEASUREMENT_DURATION {
         tokio::time::sleep(Duration::from_millis(100)).await;
         let now = Instant::now();
-        stale += handles.iter().filter(|handle| !handle.is_fresh(now)).count() as u64;
+        stale_count += handles.iter().filter(|handle| !handle.is_fresh(now)).count() as u64;
     }
-    let spent_ms = (processor_time_ms() - processor_before) as f64;
-    let share = spent_ms / started.elapsed().as_secs_f64() / 10.0 / node_count as f64;
+    let processor_ms = (processor_time_ms() - processor_before_ms) as f64;
+    let percent_per_node =
+        processor_ms / started.elapsed().as_secs_f64() / 10.0 / node_count as f64;
     println!(
-        "nodes: {node_count} nodes: {share:.3}% of a core each; process {} kB, {} kB more than at \
-         its start; {stale} stale observations",
+        "nodes: {node_count} nodes: {percent_per_node:.3}% of a core each; process {} kB, {} kB \
+         more than at its start; {stale_count} stale observations",
         resident_kb(),
-        resident_kb() - started_with_kb
+        resident_kb() - initial_resident_kb
     );
 }
 
@@ -75,6 +76,6 @@
         if sender.send(Some(status(index, load))).is_err() {
             return;
         }
-        tokio::time::sleep(LOAD_CHANGE).await;
+        tokio::time::sleep(LOAD_CHANGE_INTERVAL).await;
     }
 }
--- a/crates/yuccatack_view/src/clock.rs
+++ b/crates/yuccatack_view/src/clock.rs
@@ -1,33 +1,34 @@
-//! The monotonic clock of a process as timestamps.
+//! Monotonic clock that counts in millisecond timestamps.
 
 use std::time::Instant;
 
 use yuccatack_core::prelude::*;
 
-/// Counts milliseconds from its start; it goes on while the process is suspended by a signal.
+/// Counts the milliseconds since its start, including the time for which a signal suspends the
+/// process.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     origin: Instant,
 }
 
 impl MonotonicClock {
-    /// Starts at zero.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self { origin: Instant::now() }
     }
 
-    /// The current time.
+    /// Returns the current time.
     pub fn now(&self) -> TimestampMs {
         self.timestamp(Instant::now())
     }
 
-    /// The time at `instant`, rounded down.
+    /// Converts `instant` to a timestamp, rounded down.
     pub fn timestamp(&self, instant: Instant) -> TimestampMs {
         let elapsed = instant.saturating_duration_since(self.origin);
         TimestampMs::new(DurationMs::from(elapsed).get())
     }
 
-    /// The instant of a time.
+    /// Converts a timestamp of this clock to an instant.
     pub fn instant(&self, timestamp: TimestampMs) -> Instant {
         self.origin + std::time::Duration::from_millis(timestamp.get())
     }
--- a/crates/yuccatack_view/src/lib.rs
+++ b/crates/yuccatack_view/src/lib.rs
@@ -1,13 +1,15 @@
-//! The read view that entries and agents subscribe to, and node freshness.
+//! Read-only view of the records and minions that entries and agents subscribe to, and node
+//! freshness.
 //!
-//! The control leader runs a [`ViewPublisher`], each entry and agent a [`ViewSubscriber`]. A node
-//! starts new work only while its view is fresh; the leader knows from the nodes' reports which
-//! revision each of them applies, and so when a change is in force everywhere.
+//! Every control replica runs a [`ViewPublisher`], and the one of the leader serves the streams.
+//! Every entry and agent runs a [`ViewSubscriber`]. A node starts new work only while its view is
+//! fresh. The nodes report the revision that they have applied, so the leader can determine when a
+//! change is in force everywhere.
 
 /// Generated wire types and services; regenerate with `cargo run --package codegen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic, rustdoc::all)]
 pub mod generated {
-    /// The `view` protocol.
+    /// Messages and services of `view.proto`.
     #[path = "yuccatack.view.v1.rs"]
     pub mod view;
 }
--- a/crates/yuccatack_view/src/limits.rs
+++ b/crates/yuccatack_view/src/limits.rs
@@ -1,27 +1,29 @@
-//! Spans of time that the two sides of a view stream agree on.
+//! Limits that the publisher and the subscribers of view streams rely on.
 
 use yuccatack_core::prelude::*;
 
-/// A node starts new work only this long after it sent a report that the leader confirmed.
+/// Time for which a node may start new work after it sent a report that the leader confirmed.
 pub const FRESHNESS_DURATION: DurationMs = DurationMs::new(3_000);
-/// Allows for clocks that run at different rates, and for rounding to milliseconds.
+/// Tolerance for clocks that run at different rates and for rounding to milliseconds.
 pub const CLOCK_MARGIN: DurationMs = DurationMs::new(500);
-/// How often a node reports without a change. Six reports fit into [`FRESHNESS_DURATION`], so that a lost
-/// one and a change of leader (under 1 s) do not stop work.
+/// Interval between the reports of a node without changes. Six reports fit into
+/// [`FRESHNESS_DURATION`], so a lost report and a change of leader (under 1 s) do not stop work.
 pub const REPORT_INTERVAL: DurationMs = DurationMs::new(500);
-/// The leader drops a minion after this silence. It is well below the limit of 3 s, because the
-/// entries must also hear of it, or lose their own confirmation, before that; and well above the
-/// 0.9 s to which the proof of life of a healthy minion ages between two reports.
+/// Age of the proof of liveness at which the leader removes a minion from the view. It is well
+/// below the limit of 3 s, because within that limit the entries must also receive the removal or
+/// lose their own confirmation. It is well above the 0.9 s that the proof of a healthy minion
+/// reaches between two reports.
 pub const MINION_LIVENESS_TIMEOUT: DurationMs = DurationMs::new(1_800);
-/// How long a minion may get work after its proof of life; 0.1 s below the limit of 3 s for clocks
-/// that run at different rates.
+/// Time for which a minion may receive work after its proof of liveness. It is 0.1 s below the
+/// limit of 3 s to tolerate clocks that run at different rates.
 pub const MINION_FRESHNESS_DURATION: DurationMs = DurationMs::new(2_900);
-/// A stream without any message for this long is replaced by the node and cut by the leader.
+/// Time without a message after which the node replaces a stream and the leader closes it.
 pub const STREAM_IDLE_TIMEOUT: DurationMs = DurationMs::new(1_500);
-/// The leader forgets a node after this silence; from [`FRESHNESS_DURATION`] on it has no effect any more.
+/// Time without a report after which the leader removes a node from its table. The node stops
+/// delaying changes earlier, after [`FRESHNESS_DURATION`] and [`CLOCK_MARGIN`].
 pub const NODE_RETENTION: DurationMs = DurationMs::new(60_000);
-/// How often changes in load alone are sent to an entry.
-pub const LOAD_INTERVAL: DurationMs = DurationMs::new(1_000);
-/// The most changes in load sent at once; 24 entries of about 100 bytes a second keep within half
-/// of a node's 6 KB/s at any number of minions.
+/// Interval between updates to an entry that contain only changes in load.
+pub const LOAD_UPDATE_INTERVAL: DurationMs = DurationMs::new(1_000);
+/// Maximum number of minions in an update whose load alone has changed. 24 entries of about 100
+/// bytes a second use less than half of a node's 6 KB/s at any number of minions.
 pub const MAX_LOAD_ENTRIES: usize = 24;
--- a/crates/yuccatack_view/src/message.rs
+++ b/crates/yuccatack_view/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes and the leader tell each other, apart from its encoding.
+//! Messages between nodes and the leader, independent of their encoding.
 
 use std::sync::Arc;
 
@@ -8,53 +8,54 @@
 
 use crate::state::{MinionEntry, MinionStatus};
 
-/// What a subscribed process is.
+/// Role of a subscribed process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NodeRole {
-    /// It routes requests and so needs the minions.
+    /// Routes requests and therefore receives the minions.
     Entry,
-    /// It runs requests against its minion.
+    /// Runs requests on its minion and receives records only.
     Agent,
 }
 
-/// What a node says of itself.
+/// State that a node sends to the leader at regular intervals and after changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The node.
+    /// Name of the sending node, which stays the same across restarts.
     pub node: NodeName,
-    /// Its incarnation.
+    /// Distinguishes the process from earlier and later processes of the same node.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// Role of the process, which decides whether it receives minions.
     pub role: NodeRole,
-    /// Where it runs.
+    /// Data centre that the node runs in.
     pub data_centre: DataCentreName,
-    /// Grows with each report of a process.
+    /// Increases with each report of a process, also across its streams.
     pub sequence: u64,
-    /// The revision that it applies.
+    /// Revision that the node has applied.
     pub applied_revision: Revision,
-    /// Its minion; agents only.
+    /// Status of the minion; `None` at entries and at agents whose minion is not yet known.
     pub minion: Option<MinionStatus>,
-    /// Whether it shuts down on purpose.
+    /// True while the process shuts down in an orderly way.
     pub leaving: bool,
-    /// The newest acknowledgement received on this stream; 0 for none.
+    /// Newest acknowledgement received on this stream; 0 if there is none.
     pub received_acknowledgement: u64,
 }
 
-/// A record on its way to the nodes.
+/// Record as it is sent to the nodes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PublishedRecord {
-    /// The kind and name.
+    /// Kind and name, which identify the record.
     pub key: RecordKey,
-    /// The version of the record.
+    /// Version of the record.
     pub generation: Generation,
-    /// The change that brought this version.
+    /// Revision of the change that created this version.
     pub revision: Revision,
-    /// The document as written.
+    /// JSON document as it was submitted.
     pub document: Bytes,
 }
 
 impl PublishedRecord {
-    /// Whether nodes need records of this kind; they have no use for jobs, the most numerous kind.
+    /// Returns `true` if records of this kind are sent to nodes. Jobs, the most numerous kind, are
+    /// not, because no node uses them.
     pub const fn is_published(kind: RecordKind) -> bool {
         match kind {
             RecordKind::Job => false,
@@ -79,19 +80,19 @@
     }
 }
 
-/// One committed change, as the control process hands it to the publisher.
+/// Committed change that the control process passes to the publisher.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RecordUpdate {
-    /// The position of the change.
+    /// Revision of the record store after the change.
     pub revision: Revision,
-    /// Records that were submitted or changed.
+    /// Records that the change submitted or replaced.
     pub changed: Vec<PublishedRecord>,
-    /// Records that were withdrawn.
+    /// Keys of the records that the change withdrew.
     pub removed: Vec<RecordKey>,
 }
 
 impl RecordUpdate {
-    /// The update for the change of `key` that `store` has applied last.
+    /// Returns the update for the last change that `store` applied, which changed `key`.
     pub fn from_last_change(store: &RecordStore, key: &RecordKey) -> Self {
         let stored = store.get(key);
         Self {
@@ -105,50 +106,51 @@
     }
 }
 
-/// What the leader tells a node.
+/// Message from the leader to a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
-    /// The newest committed revision.
+    /// Newest revision that the leader has published.
     pub revision: Revision,
-    /// The newest report whose receipt is followed by a confirmation of leadership; 0 for none.
+    /// Sequence of the newest report that the leader received before a confirmation of its
+    /// leadership; 0 if there is none.
     pub acknowledged_sequence: u64,
-    /// An upper bound for the silence of every minion listed on this stream.
+    /// Upper bound of the time since the proof of liveness of each minion listed on this stream.
     pub oldest_minion_age: DurationMs,
-    /// What changed; `None` when only the acknowledgement is new.
+    /// Changed records and minions; `None` if only the acknowledgement is new.
     pub body: Option<UpdateBody>,
 }
 
-/// The changed part of an update.
+/// Records and minions of an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpdateBody {
-    /// Everything.
+    /// Complete content of the view.
     Snapshot {
-        /// Every record.
+        /// All published records.
         records: Vec<Arc<PublishedRecord>>,
-        /// Every minion.
+        /// All listed minions; empty for agents.
         minions: Vec<Arc<MinionEntry>>,
     },
-    /// The difference to what this stream held before.
+    /// Changes since the revision that the node is at and the minions last sent on the stream.
     Delta(Delta),
 }
 
-/// A difference.
+/// Changes of records and minions since a base revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
-    /// The revision that the node must hold.
+    /// Revision that the node must be at to apply the delta.
     pub base_revision: Revision,
-    /// Records that are new or changed.
+    /// Records submitted or replaced after the base revision.
     pub changed_records: Vec<Arc<PublishedRecord>>,
-    /// Records that are gone.
+    /// Keys of the records withdrawn after the base revision.
     pub removed_records: Vec<RecordKey>,
-    /// Minions that are new or changed.
+    /// Minions added or updated since the previous update.
     pub changed_minions: Vec<Arc<MinionEntry>>,
-    /// Nodes whose minions are gone.
+    /// Nodes whose minions are no longer listed.
     pub removed_minion_nodes: Vec<NodeName>,
 }
 
 impl Delta {
-    /// Whether nothing differs but possibly the revision.
+    /// Returns `true` if no record and no minion differs; the revision may still differ.
     pub const fn is_empty(&self) -> bool {
         self.changed_records.is_empty()
             && self.removed_records.is_empty()
--- a/crates/yuccatack_view/src/publisher/actor.rs
+++ b/crates/yuccatack_view/src/publisher/actor.rs
@@ -1,4 +1,4 @@
-//! The task that owns the publisher's state and the outgoing half of each stream.
+//! Task that owns the state of the publisher and the outgoing half of each stream.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,12 +17,14 @@
 use crate::message::{PublishedRecord, RecordUpdate, Report, Update};
 use crate::state::MinionEntry;
 
-/// Messages that may wait for the publisher.
+/// Maximum number of messages that wait for the publisher task.
 const MAILBOX_LENGTH: usize = 4_096;
-/// Updates that may wait for one stream; more wait as a difference that is not yet computed.
+/// Maximum number of updates that wait for one stream. Later changes are merged into one delta,
+/// which is computed once the stream has capacity.
 const STREAM_QUEUE_LENGTH: usize = 2;
-/// How often silence is looked for. It is small against the shortest limit, 1.5 s.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between checks for idle streams and expired minions; short compared with the shortest
+/// limit, 1.5 s.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 enum PublisherMessage {
     Reset { revision: Revision, records: Vec<PublishedRecord> },
@@ -37,22 +39,23 @@
     ReadStatus { reply: oneshot::Sender<PublisherStatus> },
 }
 
-/// A summary for status pages and metrics.
+/// Summary of the publisher for status pages and metrics.
 #[derive(Clone, Debug, Default)]
 pub struct PublisherStatus {
-    /// The newest published revision.
+    /// Newest published revision.
     pub revision: Revision,
-    /// The processes that reported lately.
+    /// Number of processes that reported within the retention time of nodes.
     pub node_count: usize,
-    /// The open streams.
+    /// Number of open streams.
     pub stream_count: usize,
-    /// The minions that get work.
+    /// Minions in the views of the entries.
     pub minions: Vec<Arc<MinionEntry>>,
 }
 
-/// Talks to the publisher task; a clone talks to the same task.
+/// Sends requests to the publisher task, which all clones share.
 ///
-/// The task ends when every clone is gone. A call after that has no effect and returns defaults.
+/// The task ends when every clone is dropped. A call to a task that has stopped has no effect and
+/// returns default values.
 #[derive(Clone, Debug)]
 pub struct ViewPublisher {
     messages: mpsc::Sender<PublisherMessage>,
@@ -65,62 +68,65 @@
 }
 
 impl ViewPublisher {
-    /// Starts the publisher as a follower without records.
+    /// Starts the publisher task as a follower without records.
     pub fn spawn() -> Self {
         let (messages, mailbox) = mpsc::channel(MAILBOX_LENGTH);
         tokio::spawn(PublisherTask::new(mailbox).run());
         Self { messages }
     }
 
-    /// Replaces all records, at the start and after a snapshot of the replicated state.
+    /// Replaces all records, at the start and after a snapshot of the replicated state is
+    /// installed.
     pub async fn reset(&self, revision: Revision, records: Vec<PublishedRecord>) {
         self.send(PublisherMessage::Reset { revision, records }).await;
     }
 
-    /// Publishes one committed change. Call it on followers too, in the order of revisions.
+    /// Publishes one committed change. It must be called in the order of revisions, on followers
+    /// too.
     pub async fn publish(&self, update: RecordUpdate) {
         self.send(PublisherMessage::Publish(update)).await;
     }
 
-    /// This replica leads from now on.
+    /// Starts to serve streams as the leader.
     pub async fn become_leader(&self) {
         self.send(PublisherMessage::BecomeLeader).await;
     }
 
-    /// This replica does not lead any more; streams end with the hint.
+    /// Ends all streams and gives their nodes the address of the new leader, if it is known.
     pub async fn become_follower(&self, leader: Option<SocketAddr>) {
         self.send(PublisherMessage::BecomeFollower { leader }).await;
     }
 
-    /// Tells that a quorum confirmed this replica's leadership after `confirmed_at`.
+    /// Records that a quorum confirmed the leadership of this replica after `confirmed_at`.
     ///
     /// Several times a second, the control process reads the clock, completes a read index, applies
-    /// and publishes every change up to that index, and then calls this. Nodes are fresh only
-    /// through reports that a confirmation follows.
+    /// and publishes every change up to that index, and then calls this. A report keeps its node
+    /// fresh only if a confirmation follows it.
     pub async fn confirm_leadership(&self, confirmed_at: Instant) {
         self.send(PublisherMessage::ConfirmLeadership { confirmed_at }).await;
     }
 
-    /// Whether a change is in force everywhere, and if not, which nodes are missing.
+    /// Returns whether the change of `revision` is in force everywhere, and the nodes that have not
+    /// applied it.
     pub async fn in_force(&self, revision: Revision) -> InForceStatus {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.send(PublisherMessage::ReadInForce { revision, reply }).await;
-        let stopped = InForceStatus { everywhere: false, missing_nodes: Vec::new() };
-        answer.await.unwrap_or(stopped)
+        let not_in_force = InForceStatus { everywhere: false, missing_nodes: Vec::new() };
+        response.await.unwrap_or(not_in_force)
     }
 
-    /// A summary.
+    /// Returns a summary of the records, nodes, streams and minions.
     pub async fn status(&self) -> PublisherStatus {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.send(PublisherMessage::ReadStatus { reply }).await;
-        answer.await.unwrap_or_default()
+        response.await.unwrap_or_default()
     }
 
     pub(super) async fn open_stream(&self) -> Result<(StreamId, UpdateReceiver), Status> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         self.send(PublisherMessage::Open { reply }).await;
-        match answer.await {
-            Ok(opened) => Ok(opened?),
+        match response.await {
+            Ok(stream) => Ok(stream?),
             Err(_) => Err(Status::unavailable("this control replica stops; try another one")),
         }
     }
@@ -134,7 +140,7 @@
     }
 
     async fn send(&self, message: PublisherMessage) {
-        // The task stops only with the process, so a lost message has no one to miss it.
+        // Sending fails only after the task has stopped, which happens when the process ends.
         let _ = self.messages.send(message).await;
     }
 }
@@ -148,8 +154,8 @@
     mailbox: mpsc::Receiver<PublisherMessage>,
     state: PublisherState,
     outgoing: BTreeMap<StreamId, OutgoingStream>,
-    /// Streams that may have something to be sent.
-    pending: BTreeSet<StreamId>,
+    /// Streams for which an update may be due.
+    pending_streams: BTreeSet<StreamId>,
     next_stream: StreamId,
     clock: MonotonicClock,
 }
@@ -160,28 +166,29 @@
             mailbox,
             state: PublisherState::default(),
             outgoing: BTreeMap::new(),
-            pending: BTreeSet::new(),
+            pending_streams: BTreeSet::new(),
             next_stream: 1,
             clock: MonotonicClock::start(),
         }
     }
 
     async fn run(mut self) {
-        let mut ticks = tokio::time::interval(TICK);
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut expiry_ticks = tokio::time::interval(EXPIRY_CHECK_INTERVAL);
+        expiry_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 message = self.mailbox.recv() => match message {
                     Some(message) => self.handle_batch(message),
                     None => return,
                 },
-                _ = ticks.tick() => self.tick(),
+                _ = expiry_ticks.tick() => self.expire(),
             }
             self.send_updates();
         }
     }
 
-    /// Handles what waits before anything is sent, so that a burst makes one update per stream.
+    /// Handles the waiting messages before updates are sent, so that a burst of changes leads to
+    /// one update per stream.
     fn handle_batch(&mut self, first: PublisherMessage) {
         self.handle(first);
         for _ in 0..MAILBOX_LENGTH {
@@ -201,7 +208,7 @@
             }
             PublisherMessage::Publish(update) => {
                 self.state.publish(update, now);
-                self.pend_all();
+                self.mark_all_pending();
             }
             PublisherMessage::BecomeLeader => {
                 self.end_streams(None);
@@ -213,15 +220,15 @@
             }
             PublisherMessage::ConfirmLeadership { confirmed_at } => {
                 self.state.confirm_leadership(self.clock.timestamp(confirmed_at));
-                self.pend_all();
+                self.mark_all_pending();
             }
             PublisherMessage::Open { reply } => {
-                // A requester that is gone meanwhile leaves a stream that falls silent.
+                // If the requester has gone, the stream receives no reports and is closed as idle.
                 let _ = reply.send(self.open(now));
             }
             PublisherMessage::Report { stream, report } => {
-                self.state.report(stream, &report, now);
-                self.pending.insert(stream);
+                self.state.handle_report(stream, &report, now);
+                self.pending_streams.insert(stream);
             }
             PublisherMessage::Close { stream } => {
                 self.state.close(stream);
@@ -257,26 +264,26 @@
     fn end_streams(&mut self, leader: Option<SocketAddr>) {
         for (stream, outgoing) in std::mem::take(&mut self.outgoing) {
             self.state.close(stream);
-            // A full queue loses the hint; the node then tries the replicas in turn.
+            // If the queue is full, the hint is lost and the node tries the replicas in turn.
             let _ = outgoing.updates.try_send(Err(NotLeader { leader }.into()));
         }
-        self.pending.clear();
+        self.pending_streams.clear();
     }
 
-    fn tick(&mut self) {
+    fn expire(&mut self) {
         for stream in self.state.expire(self.clock.now()) {
             self.outgoing.remove(&stream);
         }
-        self.pend_all();
+        self.mark_all_pending();
     }
 
-    fn pend_all(&mut self) {
-        self.pending.extend(self.outgoing.keys());
+    fn mark_all_pending(&mut self) {
+        self.pending_streams.extend(self.outgoing.keys());
     }
 
     fn send_updates(&mut self) {
         let now = self.clock.now();
-        for stream in std::mem::take(&mut self.pending) {
+        for stream in std::mem::take(&mut self.pending_streams) {
             if !self.send_update(stream, now) {
                 self.outgoing.remove(&stream);
                 self.state.close(stream);
@@ -284,7 +291,7 @@
         }
     }
 
-    /// Returns false when the stream is to be cut.
+    /// Returns `false` if the stream must be closed.
     fn send_update(&mut self, stream: StreamId, now: TimestampMs) -> bool {
         let Some(outgoing) = self.outgoing.get_mut(&stream) else { return true };
         match outgoing.updates.try_reserve() {
--- a/crates/yuccatack_view/src/publisher/mod.rs
+++ b/crates/yuccatack_view/src/publisher/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's side of the view.
+//! Publishes records and minions to the nodes and tracks what each node has applied.
 
 mod actor;
 mod nodes;
--- a/crates/yuccatack_view/src/publisher/nodes.rs
+++ b/crates/yuccatack_view/src/publisher/nodes.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of each node from its reports.
+//! State of each node as known from its reports.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,38 +9,38 @@
 use crate::message::Report;
 use crate::state::{MinionEntry, MinionState};
 
-/// A process: a restarted node is another one, and its predecessor may still be running.
+/// Identifies a process. A restarted node is a new process, and the old one may still be running.
 type ProcessKey = (NodeName, Incarnation);
 
 #[derive(Debug)]
 struct Process {
     applied_revision: Revision,
     last_report_at: TimestampMs,
-    /// A time after which it was alive for certain; see `Stream::report`.
+    /// Latest time at or after which the process is proven to have run; see
+    /// `Stream::handle_report`.
     alive_at: Option<TimestampMs>,
-    /// The order in which processes were first heard of.
+    /// Version of the table at the first report, which orders the processes of a node.
     first_seen: u64,
     minion: Option<Arc<MinionEntry>>,
-    /// Changes when a route must change.
+    /// Changes when anything but the load changes.
     route_version: u64,
-    /// Changes with every change of the entry.
+    /// Changes with every change of the entry, including its load.
     load_version: u64,
 }
 
-/// A minion as the entries should see it.
+/// Minion that is included in the views of the entries.
 #[derive(Clone, Debug)]
 pub struct ListedMinion {
-    /// The minion.
     pub entry: Arc<MinionEntry>,
-    /// Changes when a route must change.
+    /// Changes when anything but the load changes.
     pub route_version: u64,
-    /// Changes with every change of the entry.
+    /// Changes with every change of the entry, including its load.
     pub load_version: u64,
-    /// A time after which its node was alive for certain.
+    /// Latest time at or after which its node is proven to have run.
     pub alive_at: TimestampMs,
 }
 
-/// The nodes that reported to this leader.
+/// Nodes that reported to this leader, and their minions.
 #[derive(Debug, Default)]
 pub struct NodeTable {
     processes: BTreeMap<ProcessKey, Process>,
@@ -50,8 +50,13 @@
 }
 
 impl NodeTable {
-    /// Takes a report in. A minion is listed once it has a proof of life.
-    pub fn report(&mut self, report: &Report, alive_at: Option<TimestampMs>, now: TimestampMs) {
+    /// Records a report. A minion is listed once there is a proof of liveness of its node.
+    pub fn handle_report(
+        &mut self,
+        report: &Report,
+        alive_at: Option<TimestampMs>,
+        now: TimestampMs,
+    ) {
         self.version += 1;
         let version = self.version;
         let entry = report.minion.clone().map(|mut status| {
@@ -79,62 +84,64 @@
         process.alive_at = process.alive_at.max(alive_at);
         process.applied_revision = process.applied_revision.max(report.applied_revision);
         if process.minion != entry {
-            if routes_differ(process.minion.as_deref(), entry.as_deref()) {
+            if routing_differs(process.minion.as_deref(), entry.as_deref()) {
                 process.route_version = version;
             }
             process.load_version = version;
             process.minion = entry;
         }
-        self.list_minion(&report.node, now);
+        self.update_listing(&report.node, now);
     }
 
-    /// Drops what has become too old.
+    /// Removes processes without recent reports and minions without a recent proof of liveness.
     pub fn expire(&mut self, now: TimestampMs) {
         self.processes.retain(|_, process| now.since(process.last_report_at) <= NODE_RETENTION);
-        let silent: Vec<NodeName> = self
+        let expired_nodes: Vec<NodeName> = self
             .minions
             .iter()
             .filter(|(_, minion)| now.since(minion.alive_at) >= MINION_LIVENESS_TIMEOUT)
             .map(|(node, _)| node.clone())
             .collect();
-        for node in silent {
-            self.list_minion(&node, now);
+        for node in expired_nodes {
+            self.update_listing(&node, now);
         }
     }
 
-    /// The minions that the entries should see, by node.
+    /// Returns the minions for the views of the entries, by node.
     pub const fn minions(&self) -> &BTreeMap<NodeName, ListedMinion> {
         &self.minions
     }
 
-    /// Changes whenever a minion appears, disappears or must be routed to differently.
+    /// Returns a version that changes when a minion is added, is removed or needs different
+    /// routing.
     pub const fn route_version(&self) -> u64 {
         self.route_version
     }
 
-    /// How many processes are known.
+    /// Returns the number of processes in the table.
     pub fn process_count(&self) -> usize {
         self.processes.len()
     }
 
-    /// The nodes that may still start work by an older revision than `revision`.
-    pub fn missing(&self, revision: Revision, now: TimestampMs) -> Vec<NodeName> {
-        let limit = FRESHNESS_DURATION + CLOCK_MARGIN;
+    /// Returns the nodes that may still start work at a revision older than `revision`.
+    pub fn nodes_behind(&self, revision: Revision, now: TimestampMs) -> Vec<NodeName> {
+        let max_silence = FRESHNESS_DURATION + CLOCK_MARGIN;
         self.processes
             .iter()
             .filter(|(_, process)| process.applied_revision < revision)
-            .filter(|(_, process)| now.since(process.last_report_at) <= limit)
+            .filter(|(_, process)| now.since(process.last_report_at) <= max_silence)
             .map(|((node, _), _)| node.clone())
             .collect()
     }
 
-    /// Lists the minion of the newest process of a node, if that is alive.
-    fn list_minion(&mut self, node: &NodeName, now: TimestampMs) {
-        let least = (node.clone(), Incarnation::new(0));
-        let most = (node.clone(), Incarnation::new(u64::MAX));
+    /// Updates the listed minion of `node` to that of its newest process, if that process is proven
+    /// to be alive.
+    fn update_listing(&mut self, node: &NodeName, now: TimestampMs) {
+        let first_key = (node.clone(), Incarnation::new(0));
+        let last_key = (node.clone(), Incarnation::new(u64::MAX));
         let newest = self
             .processes
-            .range(least..=most)
+            .range(first_key..=last_key)
             .map(|(_, process)| process)
             .max_by_key(|process| process.first_seen);
         let listed = newest.and_then(|process| {
@@ -147,8 +154,8 @@
                 alive_at,
             })
         });
-        let earlier = self.minions.get(node).map(|minion| minion.route_version);
-        if earlier != listed.as_ref().map(|minion| minion.route_version) {
+        let previous = self.minions.get(node).map(|minion| minion.route_version);
+        if previous != listed.as_ref().map(|minion| minion.route_version) {
             self.route_version += 1;
         }
         match listed {
@@ -158,8 +165,9 @@
     }
 }
 
-/// Whether anything but the load differs.
-fn routes_differ(earlier: Option<&MinionEntry>, later: Option<&MinionEntry>) -> bool {
-    let (Some(earlier), Some(later)) = (earlier, later) else { return true };
-    earlier.data_centre != later.data_centre || earlier.status.routing_differs_from(&later.status)
+/// Returns `true` if anything but the load differs.
+fn routing_differs(previous: Option<&MinionEntry>, current: Option<&MinionEntry>) -> bool {
+    let (Some(previous), Some(current)) = (previous, current) else { return true };
+    previous.data_centre != current.data_centre
+        || previous.status.routing_differs_from(&current.status)
 }
--- a/crates/yuccatack_view/src/publisher/records.rs
+++ b/crates/yuccatack_view/src/publisher/records.rs
@@ -1,4 +1,4 @@
-//! The published records and the recent changes that let a returning node resume.
+//! Published records, and the recent changes from which a returning node can resume.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -8,35 +8,36 @@
 
 use crate::message::{PublishedRecord, RecordUpdate};
 
-/// The changes kept for returning nodes; the design size has 6,700 changes a day.
+/// Maximum number of changes kept for returning nodes; a cluster of the design size has 6,700
+/// changes a day.
 const MAX_RECENT_CHANGES: usize = 10_000;
 
-/// The records as of one revision.
+/// Published records at one revision.
 #[derive(Debug, Default)]
 pub struct PublishedRecords {
     revision: Revision,
     records: BTreeMap<RecordKey, Arc<PublishedRecord>>,
-    /// The keys changed after `complete_from`, oldest first.
-    recent: VecDeque<(Revision, RecordKey)>,
-    complete_from: Revision,
+    /// Keys of all records changed after `complete_since`, oldest first.
+    recent_changes: VecDeque<(Revision, RecordKey)>,
+    complete_since: Revision,
 }
 
 impl PublishedRecords {
-    /// The newest revision.
+    /// Returns the newest published revision.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Replaces everything, for example after a snapshot of the replicated state was installed.
+    /// Replaces all records, for example after a snapshot of the replicated state is installed.
     pub fn reset(&mut self, revision: Revision, records: Vec<PublishedRecord>) {
         let records = records.into_iter().filter(|r| PublishedRecord::is_published(r.key.kind));
         self.records = records.map(|record| (record.key.clone(), Arc::new(record))).collect();
-        self.recent.clear();
+        self.recent_changes.clear();
         self.revision = revision;
-        self.complete_from = revision;
+        self.complete_since = revision;
     }
 
-    /// Takes one committed change in; an older one changes nothing.
+    /// Applies one committed change and ignores it if it is not newer than the current revision.
     pub fn apply(&mut self, update: RecordUpdate) {
         if update.revision <= self.revision {
             return;
@@ -44,36 +45,37 @@
         self.revision = update.revision;
         for record in update.changed {
             if PublishedRecord::is_published(record.key.kind) {
-                self.recent.push_back((update.revision, record.key.clone()));
+                self.recent_changes.push_back((update.revision, record.key.clone()));
                 self.records.insert(record.key.clone(), Arc::new(record));
             }
         }
         for key in update.removed {
             if self.records.remove(&key).is_some() {
-                self.recent.push_back((update.revision, key));
+                self.recent_changes.push_back((update.revision, key));
             }
         }
-        while self.recent.len() > MAX_RECENT_CHANGES {
-            if let Some((revision, _)) = self.recent.pop_front() {
-                self.complete_from = revision;
+        while self.recent_changes.len() > MAX_RECENT_CHANGES {
+            if let Some((revision, _)) = self.recent_changes.pop_front() {
+                self.complete_since = revision;
             }
         }
     }
 
-    /// Whether a node at `base` can be brought up to date by a difference.
+    /// Returns `true` if a delta can bring a node at `base` up to date.
     pub fn can_resume_from(&self, base: Revision) -> bool {
-        base >= self.complete_from && base <= self.revision
+        base >= self.complete_since && base <= self.revision
     }
 
-    /// Every record.
+    /// Returns all published records.
     pub fn all(&self) -> Vec<Arc<PublishedRecord>> {
         self.records.values().cloned().collect()
     }
 
-    /// The records changed and removed after `base`.
+    /// Returns the records changed and the keys of the records removed after `base`.
     pub fn changes_after(&self, base: Revision) -> (Vec<Arc<PublishedRecord>>, Vec<RecordKey>) {
-        let start = self.recent.partition_point(|(revision, _)| *revision <= base);
-        let keys: BTreeSet<&RecordKey> = self.recent.range(start..).map(|(_, key)| key).collect();
+        let start = self.recent_changes.partition_point(|(revision, _)| *revision <= base);
+        let keys: BTreeSet<&RecordKey> =
+            self.recent_changes.range(start..).map(|(_, key)| key).collect();
         let mut changed = Vec::new();
         let mut removed = Vec::new();
         for key in keys {
--- a/crates/yuccatack_view/src/publisher/service.rs
+++ b/crates/yuccatack_view/src/publisher/service.rs
@@ -1,4 +1,4 @@
-//! The `tonic` front of the publisher.
+//! gRPC service of the publisher.
 
 use std::pin::Pin;
 
@@ -15,33 +15,33 @@
 use crate::limits::STREAM_IDLE_TIMEOUT;
 use crate::message::Report;
 
-/// The metadata key that holds the leader's address.
+/// Metadata key of the address of the leader in a refusal by a follower.
 pub const LEADER_METADATA_KEY: &str = "yuccatack-leader";
 
-/// Takes view streams in and hands them to the publisher.
+/// Accepts view streams and connects them to the publisher task.
 #[derive(Clone, Debug)]
 pub struct ViewService {
     publisher: ViewPublisher,
 }
 
 impl ViewService {
-    /// A service in front of `publisher`.
+    /// Creates a service that serves the view of `publisher`.
     pub const fn new(publisher: ViewPublisher) -> Self {
         Self { publisher }
     }
 
-    /// The service for a `tonic` router.
+    /// Wraps the service for a `tonic` router.
     pub fn into_server(self) -> ViewServer<Self> {
         ViewServer::new(self)
     }
 }
 
 impl From<NotLeader> for Status {
-    fn from(refusal: NotLeader) -> Self {
+    fn from(error: NotLeader) -> Self {
         let mut status = Self::failed_precondition(
             "this control replica does not lead; connect to the one in the metadata, or try others",
         );
-        let leader = refusal.leader.map(|address| address.to_string());
+        let leader = error.leader.map(|address| address.to_string());
         if let Some(Ok(value)) = leader.map(|text| MetadataValue::try_from(text.as_str())) {
             status.metadata_mut().insert(LEADER_METADATA_KEY, value);
         }
@@ -70,14 +70,17 @@
     stream: StreamId,
     mut reports: Streaming<NodeReport>,
 ) {
-    // The publisher cuts a silent stream; this end must not wait for a lost machine either, as the
-    // system would keep its connection for many minutes.
-    let limit = std::time::Duration::from(STREAM_IDLE_TIMEOUT) * 2;
-    while let Ok(Ok(Some(wire))) = tokio::time::timeout(limit, reports.message()).await {
-        match Report::try_from(wire) {
+    // The publisher closes an idle stream. This task must not wait for a lost machine either,
+    // because the operating system would keep the connection open for many minutes.
+    let timeout = std::time::Duration::from(STREAM_IDLE_TIMEOUT) * 2;
+    while let Ok(Ok(Some(report))) = tokio::time::timeout(timeout, reports.message()).await {
+        match Report::try_from(report) {
             Ok(report) => publisher.report(stream, report).await,
             Err(error) => {
-                log::warn!(event = "invalid_node_report"; "view stream {stream} closed: {error}");
+                log::warn!(
+                    event = "invalid_node_report";
+                    "view stream {stream} closed because of an invalid report: {error}"
+                );
                 break;
             }
         }
@@ -85,5 +88,5 @@
     publisher.close(stream).await;
 }
 
-/// The receiving half of a stream's updates.
+/// Receiver of the updates that are due on a stream.
 pub type UpdateReceiver = mpsc::Receiver<Result<crate::message::Update, Status>>;
--- a/crates/yuccatack_view/src/publisher/state.rs
+++ b/crates/yuccatack_view/src/publisher/state.rs
@@ -1,4 +1,4 @@
-//! The decisions of the leader's side of the view, free of I/O and clocks.
+//! Decisions of the publisher, without I/O or access to a clock.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,50 +10,52 @@
 use super::records::PublishedRecords;
 use super::stream::{SentMinion, Stream};
 use crate::limits::{
-    CLOCK_MARGIN, FRESHNESS_DURATION, LOAD_INTERVAL, MAX_LOAD_ENTRIES, STREAM_IDLE_TIMEOUT,
+    CLOCK_MARGIN, FRESHNESS_DURATION, LOAD_UPDATE_INTERVAL, MAX_LOAD_ENTRIES, STREAM_IDLE_TIMEOUT,
 };
 use crate::message::{Delta, NodeRole, PublishedRecord, RecordUpdate, Report, Update, UpdateBody};
 use crate::state::MinionEntry;
 
-/// Revisions that may wait for a confirmation of leadership, which comes several times a second.
+/// Maximum number of revisions that wait for a confirmation of leadership, which arrives several
+/// times a second.
 const MAX_UNCONFIRMED_REVISIONS: usize = 10_000;
 
-/// The number of a stream within one process.
+/// Number of a stream, unique within one process.
 pub type StreamId = u64;
 
-/// Whether this replica leads.
+/// Leadership of this replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Leadership {
     Follower { leader: Option<SocketAddr> },
     Leader { since: TimestampMs },
 }
 
-/// The refusal of a replica that does not lead.
+/// Error returned by a replica that is not the leader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NotLeader {
-    /// The leader's address, if it is known.
+    /// Address of the leader; `None` if it is not known.
     pub leader: Option<SocketAddr>,
 }
 
-/// Whether a change is in force everywhere.
+/// Progress of a change towards being in force on all nodes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct InForceStatus {
-    /// True when no node starts work by an older revision any more.
+    /// True if no node can start work at an older revision any more.
     pub everywhere: bool,
-    /// The nodes that report an older revision.
+    /// Nodes that have recently reported an older revision.
     pub missing_nodes: Vec<NodeName>,
 }
 
-/// The published records, the known nodes and the open streams.
+/// Published records, known nodes and open streams of a control replica.
 #[derive(Debug)]
 pub struct PublisherState {
     leadership: Leadership,
     records: PublishedRecords,
     nodes: NodeTable,
     streams: BTreeMap<StreamId, Stream>,
-    /// Revisions published since the last confirmation of leadership, oldest first.
-    unconfirmed: VecDeque<(Revision, TimestampMs)>,
-    /// The newest revision whose publication was followed by a confirmation of leadership.
+    /// Revisions published since the last confirmation of leadership, oldest first, and the time of
+    /// their publication.
+    unconfirmed_revisions: VecDeque<(Revision, TimestampMs)>,
+    /// Newest revision whose publication was followed by a confirmation of leadership.
     confirmed_revision: Revision,
 }
 
@@ -64,48 +66,48 @@
             records: PublishedRecords::default(),
             nodes: NodeTable::default(),
             streams: BTreeMap::new(),
-            unconfirmed: VecDeque::new(),
+            unconfirmed_revisions: VecDeque::new(),
             confirmed_revision: Revision::default(),
         }
     }
 }
 
 impl PublisherState {
-    /// The newest published revision.
+    /// Returns the newest published revision.
     pub const fn revision(&self) -> Revision {
         self.records.revision()
     }
 
-    /// Replaces all records.
+    /// Replaces all records by those of a snapshot at `revision`.
     pub fn reset(&mut self, revision: Revision, records: Vec<PublishedRecord>, now: TimestampMs) {
         self.records.reset(revision, records);
-        self.await_confirmation(now);
+        self.track_unconfirmed_revision(now);
     }
 
-    /// Takes one committed change in, on leaders and followers alike.
+    /// Publishes one committed change, on the leader and on followers.
     pub fn publish(&mut self, update: RecordUpdate, now: TimestampMs) {
         self.records.apply(update);
-        self.await_confirmation(now);
+        self.track_unconfirmed_revision(now);
     }
 
-    /// This replica leads from now on; what it knew of nodes from an earlier term is void.
+    /// Starts to act as the leader. The state of nodes from an earlier term is discarded.
     pub fn become_leader(&mut self, now: TimestampMs) {
         self.leadership = Leadership::Leader { since: now };
         self.nodes = NodeTable::default();
         self.streams.clear();
         self.confirmed_revision = Revision::default();
-        self.unconfirmed.clear();
-        self.await_confirmation(now);
+        self.unconfirmed_revisions.clear();
+        self.track_unconfirmed_revision(now);
     }
 
-    /// This replica does not lead; every stream ends.
+    /// Starts to act as a follower of `leader`, which removes every stream.
     pub fn become_follower(&mut self, leader: Option<SocketAddr>) {
         self.leadership = Leadership::Follower { leader };
         self.streams.clear();
-        self.unconfirmed.clear();
+        self.unconfirmed_revisions.clear();
     }
 
-    /// Opens a stream.
+    /// Opens a stream, or returns an error on a follower.
     pub fn open(&mut self, stream: StreamId, now: TimestampMs) -> Result<(), NotLeader> {
         match self.leadership {
             Leadership::Follower { leader } => Err(NotLeader { leader }),
@@ -116,104 +118,108 @@
         }
     }
 
-    /// Forgets a stream.
+    /// Removes a stream; its node stays known.
     pub fn close(&mut self, stream: StreamId) {
         self.streams.remove(&stream);
     }
 
-    /// Takes a report of an open stream in; one of a stream that was cut changes nothing.
-    pub fn report(&mut self, stream: StreamId, report: &Report, now: TimestampMs) {
+    /// Records a report of an open stream and ignores a report of a closed one.
+    pub fn handle_report(&mut self, stream: StreamId, report: &Report, now: TimestampMs) {
         let Some(stream) = self.streams.get_mut(&stream) else { return };
-        let alive_at = stream.report(report, now);
-        self.nodes.report(report, alive_at, now);
+        let alive_at = stream.handle_report(report, now);
+        self.nodes.handle_report(report, alive_at, now);
     }
 
-    /// A quorum confirmed, after `confirmed_at`, that this replica leads.
+    /// Records that a quorum confirmed after `confirmed_at` that this replica is the leader.
     ///
-    /// Reports received before that are acknowledged: no other leader can have committed a change
-    /// before a node sent them. Every change committed by then must have been published here.
+    /// Reports received before that time are acknowledged, because no other leader can have
+    /// committed a change before a node sent them. Every change committed by then must be published
+    /// here.
     pub fn confirm_leadership(&mut self, confirmed_at: TimestampMs) {
-        while let Some((revision, published_at)) = self.unconfirmed.front().copied()
+        while let Some((revision, published_at)) = self.unconfirmed_revisions.front().copied()
             && published_at < confirmed_at
         {
             self.confirmed_revision = revision;
-            self.unconfirmed.pop_front();
+            self.unconfirmed_revisions.pop_front();
         }
         for stream in self.streams.values_mut() {
             stream.confirm(confirmed_at);
         }
     }
 
-    /// Drops silent minions and returns the streams whose nodes fell silent.
+    /// Removes expired minions and closes idle streams, and returns the closed streams.
     pub fn expire(&mut self, now: TimestampMs) -> Vec<StreamId> {
         self.nodes.expire(now);
-        let silent: Vec<StreamId> = self
+        let idle_streams: Vec<StreamId> = self
             .streams
             .iter()
             .filter(|(_, stream)| now.since(stream.last_report_at) > STREAM_IDLE_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
-        for id in &silent {
+        for id in &idle_streams {
             self.streams.remove(id);
         }
-        silent
+        idle_streams
     }
 
-    /// The open streams.
+    /// Returns the open streams.
     pub fn stream_ids(&self) -> Vec<StreamId> {
         self.streams.keys().copied().collect()
     }
 
-    /// How many processes reported to this leader lately.
+    /// Returns the number of processes that reported within the retention time of nodes.
     pub fn node_count(&self) -> usize {
         self.nodes.process_count()
     }
 
-    /// The minions that get work.
+    /// Returns the minions in the views of the entries.
     pub fn minions(&self) -> Vec<Arc<MinionEntry>> {
         self.nodes.minions().values().map(|minion| Arc::clone(&minion.entry)).collect()
     }
 
-    /// Whether no node starts work by an older revision than `revision` any more.
+    /// Returns whether `revision` is in force everywhere, and the nodes that have not applied it.
     pub fn in_force(&self, revision: Revision, now: TimestampMs) -> InForceStatus {
-        let missing_nodes = self.nodes.missing(revision, now);
-        let settled = match self.leadership {
+        let missing_nodes = self.nodes.nodes_behind(revision, now);
+        let all_nodes_known = match self.leadership {
             Leadership::Follower { .. } => false,
-            // Nodes that reported only to the leader before are not known here until then.
+            // Until then, a node that has reported only to the previous leader is not known here
+            // and may still be fresh.
             Leadership::Leader { since } => now.since(since) > FRESHNESS_DURATION + CLOCK_MARGIN,
         };
-        // A deposed leader does not know the nodes that follow the new one.
+        // A replaced leader does not know the nodes that subscribe to the new leader, so the
+        // revision counts only once the leadership is confirmed after its publication.
         let confirmed = revision <= self.confirmed_revision;
         InForceStatus {
-            everywhere: settled && confirmed && missing_nodes.is_empty(),
+            everywhere: all_nodes_known && confirmed && missing_nodes.is_empty(),
             missing_nodes,
         }
     }
 
-    fn await_confirmation(&mut self, now: TimestampMs) {
+    fn track_unconfirmed_revision(&mut self, now: TimestampMs) {
         match self.leadership {
             Leadership::Follower { .. } => {}
             Leadership::Leader { .. } => {
-                self.unconfirmed.push_back((self.records.revision(), now));
-                // Without the oldest entry its revision is confirmed together with the next one.
-                if self.unconfirmed.len() > MAX_UNCONFIRMED_REVISIONS {
-                    self.unconfirmed.pop_front();
+                self.unconfirmed_revisions.push_back((self.records.revision(), now));
+                // The revision of a removed entry is confirmed together with the next one.
+                if self.unconfirmed_revisions.len() > MAX_UNCONFIRMED_REVISIONS {
+                    self.unconfirmed_revisions.pop_front();
                 }
             }
         }
     }
 
-    /// [`Self::in_force`] without the names.
+    /// Returns `true` if `revision` is in force everywhere.
     pub fn in_force_everywhere(&self, revision: Revision, now: TimestampMs) -> bool {
         self.in_force(revision, now).everywhere
     }
 
-    /// What a stream should be sent now, if anything. Call it only when the stream can take it.
+    /// Returns the update that is due on a stream, if there is one, and marks it as sent. It must
+    /// be called only if the stream has capacity for it.
     pub fn next_update(&mut self, stream: StreamId, now: TimestampMs) -> Option<Update> {
         let stream = self.streams.get_mut(&stream)?;
         let role = stream.role?;
         let revision = self.records.revision();
-        // A leader that has not yet applied what the node has seen must not take it back.
+        // A leader that is still behind the node must not send it an older revision.
         if stream.sent_revision > revision {
             return None;
         }
@@ -223,12 +229,15 @@
             NodeRole::Agent => &empty,
         };
         let body = if !stream.started && !self.records.can_resume_from(stream.sent_revision) {
-            Some(snapshot(stream, &self.records, minions))
+            Some(build_snapshot(stream, &self.records, minions))
         } else {
             let route_version = self.nodes.route_version();
-            difference(stream, &self.records, minions, route_version, now).map(UpdateBody::Delta)
+            build_delta(stream, &self.records, minions, route_version, now).map(UpdateBody::Delta)
         };
-        if body.is_none() && stream.acknowledgeable == stream.acknowledged && stream.started {
+        if body.is_none()
+            && stream.confirmed_sequence == stream.acknowledged_sequence
+            && stream.started
+        {
             return None;
         }
         stream.started = true;
@@ -241,23 +250,24 @@
     }
 }
 
-fn snapshot(
+fn build_snapshot(
     stream: &mut Stream,
     records: &PublishedRecords,
     minions: &BTreeMap<NodeName, ListedMinion>,
 ) -> UpdateBody {
-    stream.minions = minions.iter().map(|(node, minion)| (node.clone(), sent(minion))).collect();
+    stream.minions =
+        minions.iter().map(|(node, minion)| (node.clone(), sent_minion(minion))).collect();
     UpdateBody::Snapshot {
         records: records.all(),
         minions: minions.values().map(|minion| Arc::clone(&minion.entry)).collect(),
     }
 }
 
-const fn sent(minion: &ListedMinion) -> SentMinion {
+const fn sent_minion(minion: &ListedMinion) -> SentMinion {
     SentMinion { route_version: minion.route_version, load_version: minion.load_version }
 }
 
-fn difference(
+fn build_delta(
     stream: &mut Stream,
     records: &PublishedRecords,
     minions: &BTreeMap<NodeName, ListedMinion>,
@@ -269,10 +279,10 @@
         (delta.changed_records, delta.removed_records) =
             records.changes_after(stream.sent_revision);
     }
-    let load_due = now.since(stream.load_sent_at) >= LOAD_INTERVAL;
-    if load_due || stream.seen_route_version != Some(route_version) {
-        collect_minions(stream, minions, load_due, &mut delta);
-        stream.seen_route_version = Some(route_version);
+    let load_due = now.since(stream.load_sent_at) >= LOAD_UPDATE_INTERVAL;
+    if load_due || stream.sent_route_version != Some(route_version) {
+        add_minion_changes(stream, minions, load_due, &mut delta);
+        stream.sent_route_version = Some(route_version);
         if load_due {
             stream.load_sent_at = now;
         }
@@ -281,35 +291,36 @@
     changed.then_some(delta)
 }
 
-fn collect_minions(
+fn add_minion_changes(
     stream: &mut Stream,
     minions: &BTreeMap<NodeName, ListedMinion>,
     load_due: bool,
     delta: &mut Delta,
 ) {
-    let gone = |node: &NodeName| !minions.contains_key(node);
-    delta.removed_minion_nodes = stream.minions.keys().filter(|node| gone(node)).cloned().collect();
+    let is_removed = |node: &NodeName| !minions.contains_key(node);
+    delta.removed_minion_nodes =
+        stream.minions.keys().filter(|node| is_removed(node)).cloned().collect();
     for node in &delta.removed_minion_nodes {
         stream.minions.remove(node);
     }
-    let mut stale_loads: Vec<(u64, &NodeName, &ListedMinion)> = Vec::new();
+    let mut outdated_loads: Vec<(u64, &NodeName, &ListedMinion)> = Vec::new();
     for (node, minion) in minions {
         match stream.minions.get(node) {
-            Some(earlier) if earlier.route_version == minion.route_version => {
-                if load_due && earlier.load_version != minion.load_version {
-                    stale_loads.push((earlier.load_version, node, minion));
+            Some(sent) if sent.route_version == minion.route_version => {
+                if load_due && sent.load_version != minion.load_version {
+                    outdated_loads.push((sent.load_version, node, minion));
                 }
             }
             _ => {
-                stream.minions.insert(node.clone(), sent(minion));
+                stream.minions.insert(node.clone(), sent_minion(minion));
                 delta.changed_minions.push(Arc::clone(&minion.entry));
             }
         }
     }
-    // The oldest loads first, so that every minion gets its turn.
-    stale_loads.sort_unstable_by_key(|(load_version, _, _)| *load_version);
-    for (_, node, minion) in stale_loads.into_iter().take(MAX_LOAD_ENTRIES) {
-        stream.minions.insert(node.clone(), sent(minion));
+    // The loads that were sent longest ago come first, so that each minion is updated eventually.
+    outdated_loads.sort_unstable_by_key(|(load_version, _, _)| *load_version);
+    for (_, node, minion) in outdated_loads.into_iter().take(MAX_LOAD_ENTRIES) {
+        stream.minions.insert(node.clone(), sent_minion(minion));
         delta.changed_minions.push(Arc::clone(&minion.entry));
     }
 }
--- a/crates/yuccatack_view/src/publisher/stream.rs
+++ b/crates/yuccatack_view/src/publisher/stream.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one view stream.
+//! State of one view stream on the leader.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,105 +6,107 @@
 
 use crate::message::{NodeRole, Report};
 
-/// Reports that wait for a confirmation of leadership; a node sends two a second, so more than
-/// this many mean that no confirmation comes, and the oldest ones are of no use any more.
+/// Maximum number of reports that wait for a confirmation of leadership. A node sends two a second,
+/// so a longer queue means that confirmations fail and that the oldest reports are too old to be of
+/// use.
 const MAX_UNCONFIRMED_REPORTS: usize = 32;
 
-/// What a stream was told of a minion.
+/// Versions of a minion that were last sent on a stream; see `ListedMinion`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SentMinion {
-    /// See `ListedMinion`.
     pub route_version: u64,
-    /// See `ListedMinion`.
     pub load_version: u64,
 }
 
-/// Acknowledgements whose time is remembered until a report shows that they were received.
-const MAX_UNANSWERED_ACKNOWLEDGEMENTS: usize = 32;
+/// Maximum number of acknowledgements whose send time is kept until a report shows their receipt.
+const MAX_SENT_ACKNOWLEDGEMENTS: usize = 32;
 
-/// One view stream.
+/// View stream of one node.
 #[derive(Debug)]
 pub struct Stream {
     pub(super) role: Option<NodeRole>,
     pub(super) last_report_at: TimestampMs,
-    /// The revision that the node holds once it has taken in everything sent.
+    /// Revision that the node is at once it has applied every update sent.
     pub(super) sent_revision: Revision,
-    /// Whether the first update was sent.
+    /// True once the first update was sent.
     pub(super) started: bool,
-    unconfirmed: VecDeque<(u64, TimestampMs)>,
-    pub(super) acknowledgeable: u64,
-    pub(super) acknowledged: u64,
-    /// When each acknowledgement was sent, oldest first.
-    acknowledgements: VecDeque<(u64, TimestampMs)>,
-    /// A time after which the node was alive for certain.
+    unconfirmed_reports: VecDeque<(u64, TimestampMs)>,
+    pub(super) confirmed_sequence: u64,
+    pub(super) acknowledged_sequence: u64,
+    /// Sent acknowledgements whose receipt is not yet proven, and their send times, oldest first.
+    sent_acknowledgements: VecDeque<(u64, TimestampMs)>,
+    /// Latest time at or after which the node is proven to have run.
     alive_at: Option<TimestampMs>,
     pub(super) minions: BTreeMap<NodeName, SentMinion>,
-    pub(super) seen_route_version: Option<u64>,
+    pub(super) sent_route_version: Option<u64>,
     pub(super) load_sent_at: TimestampMs,
 }
 
 impl Stream {
-    /// A stream that has brought no report yet.
+    /// Creates the state of a stream without reports.
     pub fn new(now: TimestampMs) -> Self {
         Self {
             role: None,
             last_report_at: now,
             sent_revision: Revision::default(),
             started: false,
-            unconfirmed: VecDeque::new(),
-            acknowledgeable: 0,
-            acknowledged: 0,
-            acknowledgements: VecDeque::new(),
+            unconfirmed_reports: VecDeque::new(),
+            confirmed_sequence: 0,
+            acknowledged_sequence: 0,
+            sent_acknowledgements: VecDeque::new(),
             alive_at: None,
             minions: BTreeMap::new(),
-            seen_route_version: None,
+            sent_route_version: None,
             load_sent_at: now,
         }
     }
 
-    /// Takes a report in; returns a time at or after which the node sent it, if one is certain.
+    /// Records a report and returns the latest time at or after which the node is proven to have
+    /// sent it; `None` before the node has received an acknowledgement.
     ///
-    /// The time of receipt is of no use: a report may have been on its way for long.
-    pub fn report(&mut self, report: &Report, now: TimestampMs) -> Option<TimestampMs> {
+    /// The time of receipt proves nothing, because a report can be delayed in transit.
+    pub fn handle_report(&mut self, report: &Report, now: TimestampMs) -> Option<TimestampMs> {
         self.last_report_at = now;
         if self.role.is_none() {
             self.role = Some(report.role);
             self.sent_revision = report.applied_revision;
         }
-        self.unconfirmed.push_back((report.sequence, now));
-        if self.unconfirmed.len() > MAX_UNCONFIRMED_REPORTS {
-            self.unconfirmed.pop_front();
+        self.unconfirmed_reports.push_back((report.sequence, now));
+        if self.unconfirmed_reports.len() > MAX_UNCONFIRMED_REPORTS {
+            self.unconfirmed_reports.pop_front();
         }
-        while let Some((sequence, sent_at)) = self.acknowledgements.front()
+        while let Some((sequence, sent_at)) = self.sent_acknowledgements.front()
             && *sequence <= report.received_acknowledgement
         {
             self.alive_at = Some(*sent_at);
-            self.acknowledgements.pop_front();
+            self.sent_acknowledgements.pop_front();
         }
         self.alive_at
     }
 
-    /// Notes that everything acknowledgeable is being acknowledged.
+    /// Records that all confirmed reports are acknowledged at `now`, and returns the sequence of
+    /// the newest one.
     pub fn acknowledge(&mut self, now: TimestampMs) -> u64 {
-        if self.acknowledged != self.acknowledgeable {
-            self.acknowledged = self.acknowledgeable;
-            self.acknowledgements.push_back((self.acknowledged, now));
-            if self.acknowledgements.len() > MAX_UNANSWERED_ACKNOWLEDGEMENTS {
-                self.acknowledgements.pop_front();
+        if self.acknowledged_sequence != self.confirmed_sequence {
+            self.acknowledged_sequence = self.confirmed_sequence;
+            self.sent_acknowledgements.push_back((self.acknowledged_sequence, now));
+            if self.sent_acknowledgements.len() > MAX_SENT_ACKNOWLEDGEMENTS {
+                self.sent_acknowledgements.pop_front();
             }
         }
-        self.acknowledged
+        self.acknowledged_sequence
     }
 
-    /// Makes the reports that were received before `confirmed_at` ready for acknowledgement.
+    /// Marks the reports received before `confirmed_at` as confirmed, so that they are
+    /// acknowledged.
     pub fn confirm(&mut self, confirmed_at: TimestampMs) {
-        while let Some((sequence, received_at)) = self.unconfirmed.front() {
-            // Strictly before: both times are rounded down to milliseconds.
+        while let Some((sequence, received_at)) = self.unconfirmed_reports.front() {
+            // Equal times do not count, because both are rounded down to milliseconds.
             if *received_at >= confirmed_at {
                 return;
             }
-            self.acknowledgeable = self.acknowledgeable.max(*sequence);
-            self.unconfirmed.pop_front();
+            self.confirmed_sequence = self.confirmed_sequence.max(*sequence);
+            self.unconfirmed_reports.pop_front();
         }
     }
 }
--- a/crates/yuccatack_view/src/state.rs
+++ b/crates/yuccatack_view/src/state.rs
@@ -1,4 +1,4 @@
-//! The read view of a node and its freshness.
+//! Read-only view of a node and its freshness.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,51 +9,51 @@
 use yuccatack_core::prelude::*;
 use yuccatack_records::{Record, RecordKey};
 
-/// A record in the view.
+/// Decoded record in the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordEntry {
-    /// The version of the record.
+    /// Version of the record.
     pub generation: Generation,
-    /// The change that brought this version.
+    /// Revision of the change that created this version.
     pub revision: Revision,
-    /// The content.
+    /// Decoded document of the record.
     pub record: Record,
 }
 
-/// Whether a minion takes new work.
+/// Availability of a minion for new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MinionState {
-    /// It takes new work.
+    /// Accepts new work.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// Completes the work that it has and accepts no new work.
     Leaving,
-    /// Its agent cannot reach it.
+    /// Cannot be reached by its agent.
     Unhealthy,
 }
 
-/// What an agent says of its minion.
+/// Status of a minion as reported by its agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MinionStatus {
-    /// The minion.
+    /// Name of the minion.
     pub minion: MinionName,
-    /// The service that it belongs to.
+    /// Service whose requests the minion serves.
     pub service: ServiceName,
-    /// Where the agent accepts attempts.
+    /// Address at which the agent accepts attempts.
     pub agent_address: SocketAddr,
-    /// Whether it takes new work.
+    /// Availability for new work.
     pub state: MinionState,
-    /// The requests that it runs at once.
+    /// Number of requests that the minion can run at the same time.
     pub slot_count: u32,
-    /// The requests that it runs now.
+    /// Number of requests that the minion is running.
     pub slots_in_use: u32,
-    /// The requests that wait at the agent.
+    /// Number of requests that wait at the agent for a slot.
     pub queued_count: u32,
-    /// A moving average of its answer times.
+    /// Moving average of the response times, in microseconds.
     pub latency_us: u64,
 }
 
 impl MinionStatus {
-    /// Whether anything but the load differs.
+    /// Returns `true` if anything but the load differs.
     pub fn routing_differs_from(&self, other: &Self) -> bool {
         self.state != other.state
             || self.minion != other.minion
@@ -63,31 +63,31 @@
     }
 }
 
-/// A minion in the view.
+/// Minion in the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MinionEntry {
-    /// The agent's node.
+    /// Node that the agent of the minion runs on.
     pub node: NodeName,
-    /// The agent's incarnation.
+    /// Incarnation of the agent that reported the status.
     pub incarnation: Incarnation,
-    /// Where the minion runs.
+    /// Data centre that the minion runs in.
     pub data_centre: DataCentreName,
-    /// What the agent said last; loads are hints and may be old.
+    /// Newest status that the agent reported; its load is a hint and may be outdated.
     pub status: MinionStatus,
 }
 
 /// Records and minions at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The newest change that this view holds.
+    /// Revision of the newest change in this view.
     pub revision: Revision,
-    /// The records in force.
+    /// Published records; jobs are not published.
     pub records: BTreeMap<RecordKey, Arc<RecordEntry>>,
-    /// The minions by the node of their agent; empty at agents, which route nothing.
+    /// Minions by the node of their agent; empty at agents, which route nothing.
     pub minions: BTreeMap<NodeName, Arc<MinionEntry>>,
 }
 
-/// Gives a node's tasks the current view and tells whether it is fresh.
+/// Gives the tasks of a node access to the current view and its freshness.
 #[derive(Clone, Debug)]
 pub struct ViewHandle {
     view: watch::Receiver<Arc<View>>,
@@ -95,7 +95,7 @@
 }
 
 impl ViewHandle {
-    /// Connects a handle to the task that keeps the view.
+    /// Creates a handle for the channels of the task that updates the view.
     pub fn new(
         view: watch::Receiver<Arc<View>>,
         fresh_until: watch::Receiver<Option<Instant>>,
@@ -103,25 +103,25 @@
         Self { view, fresh_until }
     }
 
-    /// The current view.
+    /// Returns the current view.
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// Whether new work may start at `now`: the leader confirmed the view's revision recently, and
-    /// it heard recently of every minion in the view.
+    /// Returns `true` if new work may start at `now`: the leader has recently confirmed the
+    /// revision of the view and has a recent proof of liveness of each minion in the view.
     pub fn is_fresh(&self, now: Instant) -> bool {
-        self.fresh_until.borrow().is_some_and(|limit| now < limit)
+        self.fresh_until.borrow().is_some_and(|expiry| now < expiry)
     }
 
-    /// How old the confirmation of the view is; `None` before the first one.
+    /// Returns the age of the confirmation of the view; `None` before the first confirmation.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         let confirmed_until = (*self.fresh_until.borrow())?;
         let freshness = Duration::from(crate::limits::FRESHNESS_DURATION);
         Some(freshness.saturating_sub(confirmed_until.saturating_duration_since(now)))
     }
 
-    /// Waits until the view has changed; an error means that its keeper has stopped.
+    /// Waits until the view has changed. An error means that the subscriber task has stopped.
     pub async fn changed(&mut self) -> Result<(), watch::error::RecvError> {
         self.view.changed().await
     }
--- a/crates/yuccatack_view/src/subscriber/actor.rs
+++ b/crates/yuccatack_view/src/subscriber/actor.rs
@@ -1,4 +1,4 @@
-//! The task that keeps a node's view.
+//! Task that subscribes to the leader and updates the view of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,48 +14,51 @@
 use crate::message::{NodeRole, Report};
 use crate::state::{MinionStatus, View, ViewHandle};
 
-/// The shortest pause before a new attempt to connect.
-const LEAST_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest pause; a node must find a new leader well within its 3 s of freshness.
-const MOST_BACKOFF: Duration = Duration::from_millis(250);
-/// Hints followed without a pause; more in a row mean that replicas point at each other.
-const MAX_HINTS_IN_A_ROW: u32 = 3;
+/// Shortest pause between connection attempts.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// Longest pause between connection attempts; a node must find a new leader well within its 3 s of
+/// freshness.
+const MAX_BACKOFF: Duration = Duration::from_millis(250);
+/// Maximum number of leader hints followed without a pause. More in a row mean that replicas name
+/// each other as the leader.
+const MAX_CONSECUTIVE_HINTS: u32 = 3;
 
-/// What a subscriber needs to know.
+/// Identity of a node and the control replicas that it subscribes to.
 #[derive(Clone, Debug)]
 pub struct SubscriberConfig {
-    /// The node.
+    /// Name of the node, which stays the same across restarts.
     pub node: NodeName,
-    /// Its incarnation.
+    /// Distinguishes the process from earlier and later processes of the same node.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// Role of the process, which decides whether it receives minions.
     pub role: NodeRole,
-    /// Where it runs.
+    /// Data centre that the node runs in.
     pub data_centre: DataCentreName,
-    /// Every control replica.
+    /// Addresses of all control replicas; without any, the node never gets a view.
     pub control_addresses: Vec<SocketAddr>,
 }
 
-/// Keeps a node's view up to date.
+/// Task that keeps the view of a node up to date.
 #[derive(Debug)]
 pub struct ViewSubscriber {
     control_addresses: Vec<SocketAddr>,
     state: SubscriberState,
-    reports: watch::Receiver<Option<MinionStatus>>,
-    reports_open: bool,
-    last_reported: Option<MinionStatus>,
+    minion_status: watch::Receiver<Option<MinionStatus>>,
+    minion_status_open: bool,
+    last_reported_status: Option<MinionStatus>,
     view: watch::Sender<Arc<View>>,
     fresh_until: watch::Sender<Option<Instant>>,
     clock: MonotonicClock,
 }
 
 impl ViewSubscriber {
-    /// Starts the task; it ends when every handle is gone.
+    /// Starts the task, which ends when all handles are dropped.
     ///
-    /// A change of state in `reports` is sent at once, a change in load with the next report.
+    /// `minion_status` is reported to the leader: a change in load with the next regular report,
+    /// any other change immediately.
     pub fn spawn(
         config: SubscriberConfig,
-        reports: watch::Receiver<Option<MinionStatus>>,
+        minion_status: watch::Receiver<Option<MinionStatus>>,
     ) -> ViewHandle {
         let (view, view_receiver) = watch::channel(Arc::default());
         let (fresh_until, fresh_receiver) = watch::channel(None);
@@ -68,9 +71,9 @@
         let subscriber = Self {
             control_addresses: config.control_addresses,
             state: SubscriberState::new(identity),
-            reports,
-            reports_open: true,
-            last_reported: None,
+            minion_status,
+            minion_status_open: true,
+            last_reported_status: None,
             view,
             fresh_until,
             clock: MonotonicClock::start(),
@@ -81,42 +84,45 @@
 
     async fn run(mut self) {
         if self.control_addresses.is_empty() {
-            log::error!(event = "view_without_control"; "no control address; set one in the settings");
+            log::error!(
+                event = "view_without_control";
+                "node has no control address and gets no view; set control_addresses in its settings"
+            );
             return;
         }
-        // Nodes start at different replicas, so that not all of them try the first one.
-        let mut next = rand::random_range(0..self.control_addresses.len());
+        // Each node starts at a random replica, so that not all nodes connect to the first one.
+        let mut next_index = rand::random_range(0..self.control_addresses.len());
         let mut hint = None;
-        let mut hints_in_a_row = 0;
-        let mut backoff = LEAST_BACKOFF;
+        let mut consecutive_hints = 0;
+        let mut backoff = MIN_BACKOFF;
         while !self.view.is_closed() {
-            let address = hint.take().unwrap_or(self.control_addresses[next]);
+            let address = hint.take().unwrap_or(self.control_addresses[next_index]);
             let started = Instant::now();
-            let error = self.follow(address).await;
+            let error = self.run_stream(address).await;
             log::info!(event = "view_stream_ended"; "view stream from {address} ended: {error}");
             self.expire();
-            if started.elapsed() > MOST_BACKOFF * 4 {
-                backoff = LEAST_BACKOFF;
-                hints_in_a_row = 0;
+            if started.elapsed() > MAX_BACKOFF * 4 {
+                backoff = MIN_BACKOFF;
+                consecutive_hints = 0;
             }
             if let ConnectionError::NotLeader { leader: Some(leader) } = error
                 && leader != address
-                && hints_in_a_row < MAX_HINTS_IN_A_ROW
+                && consecutive_hints < MAX_CONSECUTIVE_HINTS
             {
                 hint = Some(leader);
-                hints_in_a_row += 1;
+                consecutive_hints += 1;
                 continue;
             }
-            hints_in_a_row = 0;
-            next = (next + 1) % self.control_addresses.len();
+            consecutive_hints = 0;
+            next_index = (next_index + 1) % self.control_addresses.len();
             let pause = tokio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.5)));
             self.expire_during(pause).await;
-            backoff = (backoff * 2).min(MOST_BACKOFF);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// Follows one stream until it ends.
-    async fn follow(&mut self, address: SocketAddr) -> ConnectionError {
+    /// Subscribes at `address` and applies the updates of the stream until it ends.
+    async fn run_stream(&mut self, address: SocketAddr) -> ConnectionError {
         self.state.start_stream();
         let report = self.next_report();
         let opening = Connection::open(address, report);
@@ -125,10 +131,10 @@
             Err(error) => return error,
         };
         let interval = Duration::from(REPORT_INTERVAL);
-        let mut report_at = tokio::time::Instant::now() + interval;
-        let mut silent_at = tokio::time::Instant::now() + Duration::from(STREAM_IDLE_TIMEOUT);
+        let mut next_report_at = tokio::time::Instant::now() + interval;
+        let mut idle_deadline = tokio::time::Instant::now() + Duration::from(STREAM_IDLE_TIMEOUT);
         loop {
-            let mut report_now = false;
+            let mut send_report = false;
             let expiry = self.expiry();
             tokio::select! {
                 update = connection.next_update() => {
@@ -136,43 +142,45 @@
                         Ok(update) => update,
                         Err(error) => return error,
                     };
-                    silent_at = tokio::time::Instant::now() + Duration::from(STREAM_IDLE_TIMEOUT);
+                    idle_deadline =
+                        tokio::time::Instant::now() + Duration::from(STREAM_IDLE_TIMEOUT);
                     match self.state.apply(update, self.clock.now()) {
-                        Ok(report_due) => report_now = report_due,
+                        Ok(report_due) => send_report = report_due,
                         Err(error) => return ConnectionError::Update { error },
                     }
                     self.publish();
                 }
-                changed = self.reports.changed(), if self.reports_open => match changed {
-                    Ok(()) => report_now = self.route_changed(),
-                    // An entry has no minion, and its sender may be gone from the start.
-                    Err(_) => self.reports_open = false,
+                changed = self.minion_status.changed(), if self.minion_status_open => match changed
+                {
+                    Ok(()) => send_report = self.routing_changed(),
+                    // An entry has no minion, so its sender may have been dropped before the start.
+                    Err(_) => self.minion_status_open = false,
                 },
-                () = tokio::time::sleep_until(report_at) => report_now = true,
-                () = tokio::time::sleep_until(silent_at) => return ConnectionError::Silent,
+                () = tokio::time::sleep_until(next_report_at) => send_report = true,
+                () = tokio::time::sleep_until(idle_deadline) => return ConnectionError::IdleTimeout,
                 () = sleep_until_expiry(expiry) => {}
                 () = self.view.closed() => return ConnectionError::Unused,
             }
             self.expire();
-            if report_now {
+            if send_report {
                 let report = self.next_report();
                 connection.send(report);
-                report_at = tokio::time::Instant::now() + interval;
+                next_report_at = tokio::time::Instant::now() + interval;
             }
         }
     }
 
     fn next_report(&mut self) -> Report {
-        let minion = self.reports.borrow_and_update().clone();
-        self.last_reported.clone_from(&minion);
+        let minion = self.minion_status.borrow_and_update().clone();
+        self.last_reported_status.clone_from(&minion);
         self.state.next_report(minion, self.clock.now())
     }
 
-    /// Whether anything but the load of the minion differs from the last report.
-    fn route_changed(&mut self) -> bool {
-        let current = self.reports.borrow_and_update();
-        match (&self.last_reported, &*current) {
-            (Some(earlier), Some(later)) => earlier.routing_differs_from(later),
+    /// Returns `true` if anything but the load of the minion differs from the last report.
+    fn routing_changed(&mut self) -> bool {
+        let current = self.minion_status.borrow_and_update();
+        match (&self.last_reported_status, &*current) {
+            (Some(previous), Some(current)) => previous.routing_differs_from(current),
             (None, None) => false,
             _ => true,
         }
@@ -193,7 +201,7 @@
             }
             modified
         });
-        let fresh_until = self.state.fresh_until().map(|limit| self.clock.instant(limit));
+        let fresh_until = self.state.fresh_until().map(|expiry| self.clock.instant(expiry));
         self.fresh_until.send_if_modified(|published| {
             let modified = *published != fresh_until;
             *published = fresh_until;
@@ -205,11 +213,11 @@
         self.state.next_expiry().map(|expiry| self.clock.instant(expiry))
     }
 
-    /// Waits for `future`. One minion whose time runs out meanwhile is dropped at once, as the view
-    /// is not fresh while it holds such a minion.
-    async fn expire_during<Waiting>(&mut self, future: Waiting) -> Waiting::Output
+    /// Waits for `future` and removes minions as soon as they expire meanwhile, because the view is
+    /// not fresh while it contains an expired minion.
+    async fn expire_during<Fut>(&mut self, future: Fut) -> Fut::Output
     where
-        Waiting: Future,
+        Fut: Future,
     {
         let mut future = std::pin::pin!(future);
         loop {
@@ -221,7 +229,7 @@
     }
 }
 
-/// Waits until `expiry`, or for ever when nothing expires.
+/// Waits until `expiry`, or forever if it is `None`.
 async fn sleep_until_expiry(expiry: Option<Instant>) {
     match expiry {
         Some(expiry) => tokio::time::sleep_until(expiry.into()).await,
--- a/crates/yuccatack_view/src/subscriber/connection.rs
+++ b/crates/yuccatack_view/src/subscriber/connection.rs
@@ -1,4 +1,4 @@
-//! One view stream of a node.
+//! Client side of one view stream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,51 +17,40 @@
 use crate::publisher::LEADER_METADATA_KEY;
 use crate::wire::WireError;
 
-/// How long opening a connection may take; it is longer than any round trip within a region.
+/// Time limit for opening a connection; longer than any round trip within a region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Reports that may wait for the network.
+/// Maximum number of reports that wait to be sent.
 const REPORT_QUEUE_LENGTH: usize = 4;
-/// The longest accepted update: a snapshot of the records without jobs.
+/// Maximum length of a received update. The largest update is a snapshot of the records without
+/// jobs.
 const MAX_UPDATE_LENGTH_BYTES: usize = 16 << 20;
 
-/// Why a stream ended.
+/// Reason for the end of a view stream.
 #[derive(Debug, Snafu)]
 pub enum ConnectionError {
-    /// The replica cannot be reached.
-    #[snafu(display("the replica cannot be reached ({detail}); trying another one"))]
-    Unreachable {
-        /// What failed.
-        detail: String,
-    },
-    /// The replica does not lead.
-    #[snafu(display("the replica does not lead; trying the leader or another one"))]
+    #[snafu(display("cannot connect to the control replica ({detail}); trying another replica"))]
+    Unreachable { detail: String },
+    #[snafu(display(
+        "the control replica is not the leader; trying the leader or another replica"
+    ))]
     NotLeader {
-        /// The leader, if the replica knows it.
+        /// Address of the leader; `None` if the replica does not know it.
         leader: Option<SocketAddr>,
     },
-    /// The replica ended the stream.
-    #[snafu(display("the replica ended the stream ({detail}); trying another one"))]
+    #[snafu(display("the control replica closed the stream ({detail}); trying another replica"))]
     Ended {
-        /// The status.
+        /// gRPC status code and message, or a note that the stream ended without a status.
         detail: String,
     },
-    /// Nothing came for too long.
-    #[snafu(display("no update for {} ms; replacing the connection", STREAM_IDLE_TIMEOUT.get()))]
-    Silent,
-    /// An update could not be read.
+    #[snafu(display("no update within {} ms; trying another replica", STREAM_IDLE_TIMEOUT.get()))]
+    IdleTimeout,
+    /// An update could not be decoded.
     #[snafu(display("{error}"))]
-    Wire {
-        /// Why.
-        error: WireError,
-    },
-    /// An update could not be applied.
+    Wire { error: WireError },
     #[snafu(display("{error}"))]
-    Update {
-        /// Why.
-        error: UpdateError,
-    },
-    /// No task uses the view any more.
-    #[snafu(display("no task uses the view any more"))]
+    Update { error: UpdateError },
+    /// All handles of the view were dropped.
+    #[snafu(display("no task uses the view any more; the subscriber stops"))]
     Unused,
 }
 
@@ -76,7 +65,7 @@
     }
 }
 
-/// An open stream.
+/// Open view stream to a control replica.
 #[derive(Debug)]
 pub struct Connection {
     reports: mpsc::Sender<NodeReport>,
@@ -84,16 +73,16 @@
 }
 
 impl Connection {
-    /// Connects and subscribes; `first` is the first report.
-    pub async fn open(address: SocketAddr, first: Report) -> Result<Self, ConnectionError> {
-        let opening = Self::subscribe(address, first);
+    /// Connects to the replica at `address` and subscribes with `first_report`.
+    pub async fn open(address: SocketAddr, first_report: Report) -> Result<Self, ConnectionError> {
+        let opening = Self::subscribe(address, first_report);
         match tokio::time::timeout(STREAM_IDLE_TIMEOUT.into(), opening).await {
             Ok(opened) => opened,
-            Err(_) => Err(ConnectionError::Silent),
+            Err(_) => Err(ConnectionError::IdleTimeout),
         }
     }
 
-    async fn subscribe(address: SocketAddr, first: Report) -> Result<Self, ConnectionError> {
+    async fn subscribe(address: SocketAddr, first_report: Report) -> Result<Self, ConnectionError> {
         let unreachable = |error: tonic::transport::Error| ConnectionError::Unreachable {
             detail: error.to_string(),
         };
@@ -102,20 +91,20 @@
         let channel = endpoint.connect().await.map_err(unreachable)?;
         let mut client =
             ViewClient::new(channel).max_decoding_message_size(MAX_UPDATE_LENGTH_BYTES);
-        let (reports, queue) = mpsc::channel(REPORT_QUEUE_LENGTH);
-        // The queue is empty, so this cannot fail.
-        let _ = reports.try_send(first.into());
-        let response = client.subscribe(ReceiverStream::new(queue)).await?;
+        let (reports, report_queue) = mpsc::channel(REPORT_QUEUE_LENGTH);
+        // The queue is empty, so sending cannot fail.
+        let _ = reports.try_send(first_report.into());
+        let response = client.subscribe(ReceiverStream::new(report_queue)).await?;
         Ok(Self { reports, updates: response.into_inner() })
     }
 
-    /// Queues a report; while the network takes nothing, reports are left out.
+    /// Queues a report and drops it if the queue is full, because a newer report replaces it.
     pub fn send(&self, report: Report) {
-        // A closed queue shows in `next_update`.
+        // If the queue is closed, `next_update` returns the error.
         let _ = self.reports.try_send(report.into());
     }
 
-    /// Waits for the next update. It may be cancelled without loss.
+    /// Waits for the next update. Cancelling this call loses no update.
     pub async fn next_update(&mut self) -> Result<Update, ConnectionError> {
         match self.updates.message().await? {
             Some(update) => {
--- a/crates/yuccatack_view/src/subscriber/mod.rs
+++ b/crates/yuccatack_view/src/subscriber/mod.rs
@@ -1,4 +1,4 @@
-//! The node's side of the view.
+//! Subscribes a node to the view of the leader and tracks the freshness of its copy.
 
 mod actor;
 mod connection;
--- a/crates/yuccatack_view/src/subscriber/state.rs
+++ b/crates/yuccatack_view/src/subscriber/state.rs
@@ -1,4 +1,4 @@
-//! The decisions of the node's side of the view, free of I/O and clocks.
+//! Decisions of the subscriber, without I/O or access to a clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -11,128 +11,132 @@
 use crate::message::{Delta, NodeRole, PublishedRecord, Report, Update, UpdateBody};
 use crate::state::{MinionEntry, MinionState, MinionStatus, RecordEntry, View};
 
-/// Reports whose send time is remembered; two a second, and none is useful after 3 s.
-const MAX_SENT_REPORTS: usize = 64;
+/// Maximum number of reports whose send time is kept. A node sends two a second, and a report is of
+/// no use after 3 s.
+const MAX_UNACKNOWLEDGED_REPORTS: usize = 64;
 
-/// What a node says of itself in every report.
+/// Properties of a node that are the same in all its reports.
 #[derive(Clone, Debug)]
 pub struct NodeIdentity {
-    /// The node.
+    /// Name of the node, which stays the same across restarts.
     pub node: NodeName,
-    /// Its incarnation.
+    /// Distinguishes the process from earlier and later processes of the same node.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// Role of the process, which decides whether it receives minions.
     pub role: NodeRole,
-    /// Where it runs.
+    /// Data centre that the node runs in.
     pub data_centre: DataCentreName,
 }
 
-/// An update that cannot be applied; the stream is to be replaced.
+/// Error for an update that cannot be applied, after which the stream must be replaced.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum UpdateError {
-    /// The sender is behind this node.
+    /// The sender has applied fewer changes than this node.
     #[snafu(display(
-        "the control replica is at revision {offered} and this node at {applied}; the node looks \
-         for the current leader; if the control replicas were set up anew, restart the node"
+        "the control replica is at revision {offered}, behind this node at {applied}; searching \
+         for the current leader; if the control replicas were reset to an empty state, restart the node"
     ))]
     StaleLeader {
-        /// The sender's revision.
+        /// Revision of the sender.
         offered: Revision,
-        /// The node's revision.
+        /// Revision that the node has applied.
         applied: Revision,
     },
-    /// A difference does not start where this node is.
+    /// An update does not start at the revision of this node.
     #[snafu(display(
-        "a difference from revision {base} does not fit this node's {applied}; it subscribes again"
+        "the update starts at revision {base}, but this node is at {applied}; subscribing again"
     ))]
     RevisionGap {
-        /// Where the difference starts.
+        /// Revision at which the update starts.
         base: Revision,
-        /// The node's revision.
+        /// Revision that the node has applied.
         applied: Revision,
     },
-    /// A record cannot be read.
+    /// A record cannot be decoded, for example because its schema version is newer than this node.
     #[snafu(display(
-        "{key} cannot be read: {detail}; upgrade this node to the version of the control replicas"
+        "record {key} cannot be decoded: {detail}; upgrade this node to the version of the control \
+         replicas"
     ))]
     Unreadable {
-        /// The record.
+        /// Kind and name of the record.
         key: RecordKey,
-        /// What is wrong.
+        /// Decoding errors, separated by semicolons.
         detail: String,
     },
 }
 
-/// The view of one node and what the leader has confirmed of it.
+/// View of one node, and the confirmations on which its freshness is based.
 #[derive(Debug)]
 pub struct SubscriberState {
     identity: NodeIdentity,
     view: Arc<View>,
     sequence: u64,
     /// Reports of the current stream without an acknowledgement, oldest first.
-    sent: VecDeque<(u64, TimestampMs)>,
-    /// The newest acknowledgement on the current stream.
+    unacknowledged_reports: VecDeque<(u64, TimestampMs)>,
+    /// Newest acknowledgement received on the current stream; 0 if there is none.
     received_acknowledgement: u64,
-    /// When the newest acknowledged report of the current stream was sent.
+    /// Send time of the newest acknowledged report of the current stream.
     confirmed_at: Option<TimestampMs>,
     fresh_until: Option<TimestampMs>,
-    /// The minions listed on the current stream.
-    listed: BTreeMap<NodeName, Arc<MinionEntry>>,
-    /// Until when each known minion may get work.
-    minion_limits: BTreeMap<NodeName, TimestampMs>,
+    /// Minions that the leader has listed on the current stream.
+    listed_minions: BTreeMap<NodeName, Arc<MinionEntry>>,
+    /// Time until which each known minion may receive work.
+    minion_expiries: BTreeMap<NodeName, TimestampMs>,
 }
 
 impl SubscriberState {
-    /// A node without a view.
+    /// Creates the state of a node that has received no update.
     pub fn new(identity: NodeIdentity) -> Self {
         Self {
             identity,
             view: Arc::default(),
             sequence: 0,
-            sent: VecDeque::new(),
+            unacknowledged_reports: VecDeque::new(),
             received_acknowledgement: 0,
             confirmed_at: None,
             fresh_until: None,
-            listed: BTreeMap::new(),
-            minion_limits: BTreeMap::new(),
+            listed_minions: BTreeMap::new(),
+            minion_expiries: BTreeMap::new(),
         }
     }
 
-    /// The current view.
+    /// Returns the current view.
     pub const fn view(&self) -> &Arc<View> {
         &self.view
     }
 
-    /// Until when new work may start.
+    /// Returns the time until which new work may start; `None` before the first confirmation.
     ///
-    /// That is 3 s after the newest confirmed report was sent, and not longer than every minion in
-    /// the view may get work: a process that was suspended must not route by a view that has since
-    /// become too old.
+    /// This is 3 s after the newest confirmed report was sent, but not later than the first expiry
+    /// of a minion in the view, because a process that was suspended must not route by a view that
+    /// has expired meanwhile.
     pub fn fresh_until(&self) -> Option<TimestampMs> {
-        let limit = self.fresh_until?;
-        Some(self.next_expiry().map_or(limit, |expiry| limit.min(expiry)))
+        let confirmed_until = self.fresh_until?;
+        Some(self.next_expiry().map_or(confirmed_until, |expiry| confirmed_until.min(expiry)))
     }
 
-    /// When [`Self::expire`] has something to do.
+    /// Returns the time of the first expiry of a minion in the view, at which [`Self::expire`] is
+    /// due.
     pub fn next_expiry(&self) -> Option<TimestampMs> {
         let minions = self.view.minions.keys();
-        minions.filter_map(|node| self.minion_limits.get(node)).copied().min()
+        minions.filter_map(|node| self.minion_expiries.get(node)).copied().min()
     }
 
-    /// A new stream starts: acknowledgements of the earlier one do not count any more.
+    /// Starts a new stream. Acknowledgements of the previous one no longer count, because its
+    /// leader may have been replaced.
     pub fn start_stream(&mut self) {
-        self.sent.clear();
+        self.unacknowledged_reports.clear();
         self.received_acknowledgement = 0;
         self.confirmed_at = None;
-        self.listed.clear();
+        self.listed_minions.clear();
     }
 
-    /// The next report. Pass the time before it is sent.
+    /// Returns the next report. `now` must not be later than the time at which it is sent.
     pub fn next_report(&mut self, minion: Option<MinionStatus>, now: TimestampMs) -> Report {
         self.sequence += 1;
-        self.sent.push_back((self.sequence, now));
-        if self.sent.len() > MAX_SENT_REPORTS {
-            self.sent.pop_front();
+        self.unacknowledged_reports.push_back((self.sequence, now));
+        if self.unacknowledged_reports.len() > MAX_UNACKNOWLEDGED_REPORTS {
+            self.unacknowledged_reports.pop_front();
         }
         let leaving = minion.as_ref().is_some_and(|m| m.state == MinionState::Leaving);
         Report {
@@ -148,10 +152,11 @@
         }
     }
 
-    /// Applies an update of the current stream; an error leaves the view as it was.
+    /// Applies an update of the current stream. If it fails, the view is unchanged.
     ///
-    /// True means that a report is due at once: the revision changed, or the stream brought its
-    /// first acknowledgement, which proves to the leader that the node is alive.
+    /// Returns `true` if a report is due immediately. This is the case if the revision has changed,
+    /// and at the first acknowledgement of the stream, whose receipt proves to the leader that the
+    /// node is alive.
     pub fn apply(&mut self, update: Update, now: TimestampMs) -> Result<bool, UpdateError> {
         let applied = self.view.revision;
         let had_acknowledgement = self.received_acknowledgement > 0;
@@ -166,30 +171,33 @@
             None => {}
         }
         self.acknowledge(update.acknowledged_sequence);
-        self.extend_minions(update.oldest_minion_age);
-        self.list_minions(now);
+        self.extend_minion_expiries(update.oldest_minion_age);
+        self.update_minions(now);
         let first_acknowledgement = !had_acknowledgement && self.received_acknowledgement > 0;
         Ok(first_acknowledgement || self.view.revision != applied)
     }
 
-    /// Drops the minions whose time has run out; tells whether the view changed.
+    /// Removes expired minions and returns `true` if the view has changed.
     pub fn expire(&mut self, now: TimestampMs) -> bool {
         let expired =
-            |node: &NodeName| self.minion_limits.get(node).is_none_or(|limit| *limit <= now);
+            |node: &NodeName| self.minion_expiries.get(node).is_none_or(|expiry| *expiry <= now);
         if !self.view.minions.keys().any(expired) {
             return false;
         }
-        self.list_minions(now);
+        self.update_minions(now);
         true
     }
 
     fn apply_body(&mut self, revision: Revision, body: UpdateBody) -> Result<(), UpdateError> {
-        debug_assert!(revision >= self.view.revision, "the node would go back to {revision}");
+        debug_assert!(
+            revision >= self.view.revision,
+            "the view would regress to revision {revision}"
+        );
         let mut view = View::clone(&self.view);
         match body {
             UpdateBody::Snapshot { records, minions } => {
-                view.records = read_records(&records)?.collect();
-                self.listed = minions.into_iter().map(|m| (m.node.clone(), m)).collect();
+                view.records = decode_records(&records)?.collect();
+                self.listed_minions = minions.into_iter().map(|m| (m.node.clone(), m)).collect();
             }
             UpdateBody::Delta(delta) => self.apply_delta(&mut view, delta)?,
         }
@@ -203,51 +211,52 @@
         if delta.base_revision != applied {
             return Err(UpdateError::RevisionGap { base: delta.base_revision, applied });
         }
-        view.records.extend(read_records(&delta.changed_records)?);
+        view.records.extend(decode_records(&delta.changed_records)?);
         for key in &delta.removed_records {
             view.records.remove(key);
         }
         for minion in delta.changed_minions {
-            self.listed.insert(minion.node.clone(), minion);
+            self.listed_minions.insert(minion.node.clone(), minion);
         }
         for node in &delta.removed_minion_nodes {
-            self.listed.remove(node);
-            self.minion_limits.remove(node);
+            self.listed_minions.remove(node);
+            self.minion_expiries.remove(node);
         }
         Ok(())
     }
 
     fn acknowledge(&mut self, sequence: u64) {
         self.received_acknowledgement = self.received_acknowledgement.max(sequence);
-        while let Some((oldest, sent_at)) = self.sent.front().copied() {
+        while let Some((oldest, sent_at)) = self.unacknowledged_reports.front().copied() {
             if oldest > sequence {
                 return;
             }
-            self.sent.pop_front();
+            self.unacknowledged_reports.pop_front();
             self.confirmed_at = self.confirmed_at.max(Some(sent_at));
             self.fresh_until = self.fresh_until.max(Some(sent_at + FRESHNESS_DURATION));
         }
     }
 
-    /// Each listed minion was alive at most `oldest_age` before the update was sent, and that was
-    /// after this node had sent the confirmed report.
-    fn extend_minions(&mut self, oldest_age: DurationMs) {
+    /// Extends the time for which the listed minions may receive work. Each of them was alive at
+    /// most `oldest_age` before the update was sent, and the update was sent after the confirmed
+    /// report.
+    fn extend_minion_expiries(&mut self, oldest_age: DurationMs) {
         let Some(confirmed_at) = self.confirmed_at else { return };
         let window =
             DurationMs::new(MINION_FRESHNESS_DURATION.get().saturating_sub(oldest_age.get()));
-        for node in self.listed.keys() {
-            let limit = self.minion_limits.entry(node.clone()).or_default();
-            *limit = (confirmed_at + window).max(*limit);
+        for node in self.listed_minions.keys() {
+            let expiry = self.minion_expiries.entry(node.clone()).or_default();
+            *expiry = (confirmed_at + window).max(*expiry);
         }
     }
 
-    /// Puts the minions into the view that may get work now: those that the current stream lists,
-    /// and those of earlier streams, which a new leader may not have heard of yet.
-    fn list_minions(&mut self, now: TimestampMs) {
-        self.minion_limits.retain(|_, limit| *limit > now);
+    /// Sets the minions of the view to those that may receive work at `now`: the minions listed on
+    /// the current stream, and those of earlier streams, which a new leader may not know yet.
+    fn update_minions(&mut self, now: TimestampMs) {
+        self.minion_expiries.retain(|_, expiry| *expiry > now);
         let mut minions = BTreeMap::new();
-        for node in self.minion_limits.keys() {
-            let entry = self.listed.get(node).or_else(|| self.view.minions.get(node));
+        for node in self.minion_expiries.keys() {
+            let entry = self.listed_minions.get(node).or_else(|| self.view.minions.get(node));
             if let Some(entry) = entry {
                 minions.insert(node.clone(), Arc::clone(entry));
             }
@@ -258,13 +267,13 @@
     }
 }
 
-fn read_records(
+fn decode_records(
     records: &[Arc<PublishedRecord>],
 ) -> Result<impl Iterator<Item = (RecordKey, Arc<RecordEntry>)> + use<>, UpdateError> {
     let mut entries = Vec::with_capacity(records.len());
     for published in records {
-        let record = decode(&published.document).map_err(|problems| {
-            let details: BTreeSet<String> = problems.iter().map(ToString::to_string).collect();
+        let record = decode(&published.document).map_err(|errors| {
+            let details: BTreeSet<String> = errors.iter().map(ToString::to_string).collect();
             let detail = details.into_iter().collect::<Vec<_>>().join("; ");
             UpdateError::Unreadable { key: published.key.clone(), detail }
         })?;
--- a/crates/yuccatack_view/src/wire.rs
+++ b/crates/yuccatack_view/src/wire.rs
@@ -1,4 +1,4 @@
-//! Conversion between the protocol and the internal types.
+//! Conversion between the generated protocol types and the types of this crate.
 
 use std::sync::Arc;
 
@@ -10,10 +10,11 @@
 use crate::message::{Delta, NodeRole, PublishedRecord, Report, Update, UpdateBody};
 use crate::state::{MinionEntry, MinionState, MinionStatus};
 
-/// A message that the other side should not have sent.
+/// Error for a received message that does not follow the protocol.
 #[derive(Debug, Snafu)]
 #[snafu(display(
-    "`{field}` is not valid: {detail}; run the same version on nodes and control replicas"
+    "field `{field}` of a view message is not valid: {detail}; run the same version on nodes and \
+     control replicas"
 ))]
 pub struct WireError {
     field: &'static str,
@@ -24,7 +25,7 @@
     WireError { field, detail: detail.to_string() }
 }
 
-fn name<Name>(field: &'static str, text: String) -> Result<Name, WireError>
+fn parse_name<Name>(field: &'static str, text: String) -> Result<Name, WireError>
 where
     Name: TryFrom<String>,
     Name::Error: ToString,
@@ -32,8 +33,8 @@
     Name::try_from(text).map_err(|error| invalid(field, error))
 }
 
-fn kind(word: &str) -> Result<RecordKind, WireError> {
-    RecordKind::from_word(word).ok_or_else(|| invalid("kind", word))
+fn parse_kind(name: &str) -> Result<RecordKind, WireError> {
+    RecordKind::from_word(name).ok_or_else(|| invalid("kind", name))
 }
 
 impl TryFrom<wire::NodeReport> for Report {
@@ -46,10 +47,10 @@
             wire::NodeRole::Unspecified => return Err(invalid("role", "unspecified")),
         };
         Ok(Self {
-            node: name("node", report.node)?,
+            node: parse_name("node", report.node)?,
             incarnation: Incarnation::new(report.incarnation),
             role,
-            data_centre: name("data_centre", report.data_centre)?,
+            data_centre: parse_name("data_centre", report.data_centre)?,
             sequence: report.sequence,
             applied_revision: Revision::new(report.applied_revision),
             minion: report.minion.map(MinionStatus::try_from).transpose()?,
@@ -91,8 +92,8 @@
         };
         let address = report.agent_address.parse();
         Ok(Self {
-            minion: name("minion", report.minion)?,
-            service: name("service", report.service)?,
+            minion: parse_name("minion", report.minion)?,
+            service: parse_name("service", report.service)?,
             agent_address: address.map_err(|error| invalid("agent_address", error))?,
             state,
             slot_count: report.slot_count,
@@ -129,9 +130,9 @@
     fn try_from(entry: wire::MinionEntry) -> Result<Self, Self::Error> {
         let report = entry.report.ok_or_else(|| invalid("report", "missing"))?;
         Ok(Self {
-            node: name("node", entry.node)?,
+            node: parse_name("node", entry.node)?,
             incarnation: Incarnation::new(entry.incarnation),
-            data_centre: name("data_centre", entry.data_centre)?,
+            data_centre: parse_name("data_centre", entry.data_centre)?,
             status: report.try_into()?,
         })
     }
@@ -153,7 +154,10 @@
 
     fn try_from(entry: wire::RecordEntry) -> Result<Self, Self::Error> {
         Ok(Self {
-            key: RecordKey { kind: kind(&entry.kind)?, name: name("name", entry.name)? },
+            key: RecordKey {
+                kind: parse_kind(&entry.kind)?,
+                name: parse_name("name", entry.name)?,
+            },
             generation: Generation::new(entry.generation),
             revision: Revision::new(entry.revision),
             document: entry.document_json,
@@ -173,7 +177,7 @@
     }
 }
 
-fn collect<Source, Target>(items: Vec<Source>) -> Result<Vec<Arc<Target>>, WireError>
+fn convert_all<Source, Target>(items: Vec<Source>) -> Result<Vec<Arc<Target>>, WireError>
 where
     Target: TryFrom<Source, Error = WireError>,
 {
@@ -187,8 +191,8 @@
         let body = match update.body {
             None => None,
             Some(wire::view_update::Body::Snapshot(snapshot)) => Some(UpdateBody::Snapshot {
-                records: collect(snapshot.records)?,
-                minions: collect(snapshot.minions)?,
+                records: convert_all(snapshot.records)?,
+                minions: convert_all(snapshot.minions)?,
             }),
             Some(wire::view_update::Body::Delta(delta)) => {
                 Some(UpdateBody::Delta(delta.try_into()?))
@@ -207,18 +211,17 @@
     type Error = WireError;
 
     fn try_from(delta: wire::Delta) -> Result<Self, Self::Error> {
-        let removed_records = delta
-            .removed_records
-            .into_iter()
-            .map(|key| Ok(RecordKey { kind: kind(&key.kind)?, name: name("name", key.name)? }));
+        let removed_records = delta.removed_records.into_iter().map(|key| {
+            Ok(RecordKey { kind: parse_kind(&key.kind)?, name: parse_name("name", key.name)? })
+        });
         let removed_nodes = delta.removed_minion_nodes.into_iter();
         Ok(Self {
             base_revision: Revision::new(delta.base_revision),
-            changed_records: collect(delta.changed_records)?,
+            changed_records: convert_all(delta.changed_records)?,
             removed_records: removed_records.collect::<Result<_, _>>()?,
-            changed_minions: collect(delta.changed_minions)?,
+            changed_minions: convert_all(delta.changed_minions)?,
             removed_minion_nodes: removed_nodes
-                .map(|node| name("removed_minion_nodes", node))
+                .map(|node| parse_name("removed_minion_nodes", node))
                 .collect::<Result<_, _>>()?,
         })
     }
--- a/crates/yuccatack_view/tests/hung_connections.rs
+++ b/crates/yuccatack_view/tests/hung_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that stop responding, and subscribers that read nothing.
+//! Connections that hang without being closed, and subscribers that do not read their updates.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -20,13 +20,13 @@
     ViewService, ViewSubscriber,
 };
 
-async fn leader() -> (ViewPublisher, SocketAddr) {
+async fn start_leader() -> (ViewPublisher, SocketAddr) {
     let publisher = ViewPublisher::spawn();
     publisher.become_leader().await;
-    let confirming = publisher.clone();
+    let confirming_publisher = publisher.clone();
     tokio::spawn(async move {
         loop {
-            confirming.confirm_leadership(Instant::now()).await;
+            confirming_publisher.confirm_leadership(Instant::now()).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     });
@@ -50,7 +50,7 @@
     ViewSubscriber::spawn(config, watch::channel(None).1)
 }
 
-/// Forwards connections; each one stops responding for good after `lifetime`, without being closed.
+/// Starts a proxy whose connections hang after `lifetime` without being closed.
 async fn unreliable_proxy(target: SocketAddr, lifetime: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -69,23 +69,23 @@
     address
 }
 
-/// Guards against a node that waits for a connection that never responds again, and against one
-/// that loses its freshness although new connections work.
+/// Guards against a node that waits for a hung connection, and against one that loses its freshness
+/// although new connections work. Each connection hangs 2.5 s after it opened.
 #[tokio::test(flavor = "multi_thread")]
 async fn hung_connection_is_replaced() {
-    let (publisher, address) = leader().await;
+    let (publisher, address) = start_leader().await;
     let proxy = unreliable_proxy(address, Duration::from_millis(2_500)).await;
     let node = subscribe(proxy);
-    let limit = Instant::now() + Duration::from_secs(5);
+    let deadline = Instant::now() + Duration::from_secs(5);
     while !node.is_fresh(Instant::now()) {
-        assert!(Instant::now() < limit, "not fresh within 5 s");
+        assert!(Instant::now() < deadline, "the node is not fresh within 5 s");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    // Three connections stop within this time.
+    // Three connections hang within this time.
     let end = Instant::now() + Duration::from_secs(13);
     let mut revision = 0;
     while Instant::now() < end {
-        assert!(node.is_fresh(Instant::now()), "not fresh at revision {revision}");
+        assert!(node.is_fresh(Instant::now()), "the node is not fresh at revision {revision}");
         revision += 1;
         publisher.publish(organisation("tri", revision)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -94,8 +94,8 @@
     assert_eq!(node.view().revision.get(), revision);
 }
 
-/// A guarantee with a long list, so that few of them fill the buffers of a stream.
-fn long_record(revision: u64) -> RecordUpdate {
+/// Returns a guarantee with 2,500 data centres, so that a few records fill the buffers of a stream.
+fn large_record(revision: u64) -> RecordUpdate {
     let names: Vec<String> =
         (0..2_500).map(|index| format!(r#""data-centre-{index:06}""#)).collect();
     let document = format!(
@@ -116,11 +116,12 @@
     }
 }
 
-/// Guards against a subscriber that reads nothing and holds others up or grows the leader's memory.
+/// Guards against a subscriber that does not read its updates and thereby delays other nodes or
+/// increases the memory of the leader without limit.
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_subscriber_is_cut() {
-    let (publisher, address) = leader().await;
-    let (reports, queue) = tokio::sync::mpsc::channel(4);
+async fn slow_subscriber_is_disconnected() {
+    let (publisher, address) = start_leader().await;
+    let (reports, report_queue) = tokio::sync::mpsc::channel(4);
     tokio::spawn(async move {
         let mut sequence = 0;
         loop {
@@ -133,24 +134,27 @@
         }
     });
     let mut client = ViewClient::connect(format!("http://{address}")).await.unwrap();
-    let queue = tokio_stream::wrappers::ReceiverStream::new(queue);
-    let unread = client.subscribe(queue).await.unwrap();
+    let report_queue = tokio_stream::wrappers::ReceiverStream::new(report_queue);
+    let unread_updates = client.subscribe(report_queue).await.unwrap();
     let node = subscribe(address);
-    let limit = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     while publisher.status().await.stream_count < 2 {
-        assert!(Instant::now() < limit, "both streams do not open");
+        assert!(Instant::now() < deadline, "fewer than 2 streams opened within 10 s");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let mut revision = 0;
     while publisher.status().await.stream_count == 2 {
-        assert!(Instant::now() < limit, "the slow stream is not cut");
+        assert!(Instant::now() < deadline, "the slow stream was not closed within 10 s");
         revision += 1;
-        publisher.publish(long_record(revision)).await;
+        publisher.publish(large_record(revision)).await;
         let published_at = Instant::now();
         while node.view().revision.get() < revision {
-            assert!(published_at.elapsed() < Duration::from_secs(3), "the other node waits");
+            assert!(
+                published_at.elapsed() < Duration::from_secs(3),
+                "the other node did not apply revision {revision} within 3 s"
+            );
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    drop(unread);
+    drop(unread_updates);
 }
--- a/crates/yuccatack_view/tests/live_stream.rs
+++ b/crates/yuccatack_view/tests/live_stream.rs
@@ -1,4 +1,4 @@
-//! The publisher and subscribers over real connections on loopback.
+//! Publisher and subscribers over TCP connections on loopback.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     address
 }
 
-/// Stands in for the read index of the control process.
+/// Confirms the leadership every 100 ms, in place of the read index of the control process.
 fn confirm_continuously(publisher: &ViewPublisher) -> tokio::task::JoinHandle<()> {
     let publisher = publisher.clone();
     tokio::spawn(async move {
@@ -80,23 +80,23 @@
     }
 }
 
-async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let limit = Instant::now() + Duration::from_secs(10);
+async fn wait_until(description: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(10);
     while !condition().await {
-        assert!(Instant::now() < limit, "not within 10 s: {what}");
+        assert!(Instant::now() < deadline, "not reached within 10 s: {description}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Guards against a change that does not reach a node, is not confirmed, or is claimed to be in
-/// force before the first 3.5 s of a leader have passed.
+/// Guards against a change that does not reach a node or is never reported as in force, and against
+/// a new leader that reports a change as in force within its first 3.5 s.
 #[tokio::test(flavor = "multi_thread")]
 async fn change_comes_into_force() {
     let publisher = ViewPublisher::spawn();
     let address = serve(&publisher).await;
     publisher.reset(Revision::default(), Vec::new()).await;
     publisher.become_leader().await;
-    let led_since = Instant::now();
+    let leader_since = Instant::now();
     confirm_continuously(&publisher);
     let (entry, _entry_reports) = subscribe("entry-1", NodeRole::Entry, vec![address]);
     publisher.publish(organisation("tri", 1)).await;
@@ -104,7 +104,7 @@
     wait_until("the view is fresh", async || entry.is_fresh(Instant::now())).await;
     let revision = Revision::new(1);
     wait_until("in force", async || publisher.in_force(revision).await.everywhere).await;
-    assert!(led_since.elapsed() > Duration::from_millis(3_500));
+    assert!(leader_since.elapsed() > Duration::from_millis(3_500));
     publisher.publish(organisation("tri", 2)).await;
     let published_at = Instant::now();
     let revision = Revision::new(2);
@@ -112,9 +112,9 @@
     assert!(published_at.elapsed() < Duration::from_secs(3), "{:?}", published_at.elapsed());
 }
 
-/// Guards against routing to a minion that leaves or whose agent is gone.
+/// Guards against routing to a minion that is leaving or whose agent has stopped.
 #[tokio::test(flavor = "multi_thread")]
-async fn departed_minion_disappears() {
+async fn departed_minion_is_removed() {
     let publisher = ViewPublisher::spawn();
     let address = serve(&publisher).await;
     publisher.become_leader().await;
@@ -124,20 +124,20 @@
     reports.send(Some(minion(MinionState::Ready))).unwrap();
     wait_until("the minion appears", async || entry.view().minions.len() == 1).await;
     reports.send(Some(minion(MinionState::Leaving))).unwrap();
-    let left_at = Instant::now();
+    let leaving_at = Instant::now();
     let leaving = |view: &yuccatack_view::View| {
         view.minions.values().all(|entry| entry.status.state == MinionState::Leaving)
     };
     wait_until("the minion leaves", async || leaving(&entry.view())).await;
-    assert!(left_at.elapsed() < Duration::from_secs(3));
+    assert!(leaving_at.elapsed() < Duration::from_secs(3));
     drop(agent);
-    let gone_at = Instant::now();
+    let stopped_at = Instant::now();
     wait_until("the minion disappears", async || entry.view().minions.is_empty()).await;
-    assert!(gone_at.elapsed() < Duration::from_secs(3), "{:?}", gone_at.elapsed());
+    assert!(stopped_at.elapsed() < Duration::from_secs(3), "{:?}", stopped_at.elapsed());
 }
 
-/// Guards against a node that stays fresh through a leader that lost its quorum, and against one
-/// that does not find the new leader or loses its minions on the way.
+/// Guards against a node that does not find a new leader or loses its minions at the change, and
+/// against one that stays fresh on a leader that has lost its quorum.
 #[tokio::test(flavor = "multi_thread")]
 async fn new_leader_is_followed() {
     let first = ViewPublisher::spawn();
@@ -166,7 +166,7 @@
     })
     .await;
     assert!(changed_at.elapsed() < Duration::from_secs(1), "{:?}", changed_at.elapsed());
-    // A leader without confirmations keeps no node fresh.
+    // Without confirmations of leadership, no node stays fresh.
     first.become_leader().await;
     second.become_follower(Some(first_address)).await;
     tokio::time::sleep(Duration::from_millis(3_200)).await;
--- a/crates/yuccatack_view/tests/node_freshness.rs
+++ b/crates/yuccatack_view/tests/node_freshness.rs
@@ -1,4 +1,4 @@
-//! When a node may start work, and which updates it refuses.
+//! Time until which a node may start work, and updates that it rejects.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -37,24 +37,26 @@
     Update { body: None, ..snapshot(revision, acknowledged_sequence) }
 }
 
-/// Guards against freshness that counts from the receipt of an acknowledgement.
+/// Guards against a node that stays fresh for too long after a late acknowledgement, because its
+/// freshness counts from the receipt instead of the sending of the report.
 #[test]
-fn freshness_counts_from_sending() {
+fn freshness_starts_at_sending() {
     let mut node = node();
     node.start_stream();
     assert_eq!(node.next_report(None, at(100)).sequence, 1);
     assert_eq!(node.next_report(None, at(600)).sequence, 2);
     node.apply(snapshot(5, 0), at(700)).unwrap();
-    assert_eq!(node.fresh_until(), None, "nothing is acknowledged");
+    assert_eq!(node.fresh_until(), None, "no report has been acknowledged");
     node.apply(acknowledgement(5, 1), at(2_900)).unwrap();
     assert_eq!(node.fresh_until(), Some(at(100) + FRESHNESS_DURATION));
     node.apply(acknowledgement(5, 2), at(3_900)).unwrap();
     assert_eq!(node.fresh_until(), Some(at(600) + FRESHNESS_DURATION));
 }
 
-/// Guards against an acknowledgement of one leader that counts for a report to another.
+/// Guards against an acknowledgement of one leader that extends the freshness through a report sent
+/// to another leader.
 #[test]
-fn earlier_streams_do_not_count() {
+fn earlier_streams_are_ignored() {
     let mut node = node();
     node.start_stream();
     let sequence = node.next_report(None, at(100)).sequence;
@@ -65,24 +67,26 @@
     assert_eq!(node.fresh_until(), None);
 }
 
-/// Guards against a node that goes back, by a snapshot, a difference or an acknowledgement.
+/// Guards against a node whose revision goes back through a snapshot or an acknowledgement of a
+/// leader that is behind.
 #[test]
-fn older_leader_is_refused() {
+fn stale_leader_is_rejected() {
     let mut node = node();
     node.start_stream();
     node.next_report(None, at(100));
     node.apply(snapshot(5, 0), at(200)).unwrap();
     let (offered, applied) = (Revision::new(4), Revision::new(5));
-    let error = Err(UpdateError::StaleLeader { offered, applied });
-    assert_eq!(node.apply(snapshot(4, 1), at(300)), error);
-    assert_eq!(node.apply(acknowledgement(4, 1), at(300)), error);
+    let expected_error = Err(UpdateError::StaleLeader { offered, applied });
+    assert_eq!(node.apply(snapshot(4, 1), at(300)), expected_error);
+    assert_eq!(node.apply(acknowledgement(4, 1), at(300)), expected_error);
     assert_eq!(node.view().revision, applied);
     assert_eq!(node.fresh_until(), None);
 }
 
-/// Guards against changes that are skipped unseen.
+/// Guards against changes that a node skips because an update starts after the revision of the
+/// node.
 #[test]
-fn gap_is_refused() {
+fn revision_gap_is_rejected() {
     let mut node = node();
     node.apply(snapshot(5, 0), at(200)).unwrap();
     let body = Delta { base_revision: Revision::new(6), ..Delta::default() };
@@ -90,14 +94,15 @@
     let (base, applied) = (Revision::new(6), Revision::new(5));
     assert_eq!(node.apply(update, at(300)), Err(UpdateError::RevisionGap { base, applied }));
     let base = Revision::new(6);
-    let error = Err(UpdateError::RevisionGap { base, applied });
-    assert_eq!(node.apply(acknowledgement(6, 0), at(300)), error);
+    let expected_error = Err(UpdateError::RevisionGap { base, applied });
+    assert_eq!(node.apply(acknowledgement(6, 0), at(300)), expected_error);
     assert_eq!(node.view().revision, applied);
 }
 
-/// Guards against a node that confirms a record that it cannot read.
+/// Guards against a node that reports a revision as applied although it cannot decode a record of
+/// it.
 #[test]
-fn unreadable_record_is_not_applied() {
+fn undecodable_record_is_not_applied() {
     let mut node = node();
     node.start_stream();
     node.next_report(None, at(100));
@@ -112,7 +117,7 @@
     assert_eq!(node.next_report(None, at(400)).applied_revision.get(), 5);
 }
 
-fn listed(name: &str) -> Arc<MinionEntry> {
+fn minion_entry(name: &str) -> Arc<MinionEntry> {
     Arc::new(MinionEntry {
         node: NodeName::new(name).unwrap(),
         incarnation: Incarnation::new(3),
@@ -121,39 +126,49 @@
     })
 }
 
-/// Guards against minions that stay after their time, and against minions that are lost when a new
-/// leader has not yet heard of them.
+/// Guards against minions that stay in the view after their expiry, and against minions that are
+/// lost at a change of leader because the new leader does not know them yet.
 #[test]
-fn minions_outlive_a_leader_for_their_time() {
+fn minions_survive_leader_change() {
     let mut node = node();
     node.start_stream();
     node.next_report(None, at(100));
-    let minions = vec![listed("agent-1"), listed("agent-2")];
+    let minions = vec![minion_entry("agent-1"), minion_entry("agent-2")];
     let body = Some(UpdateBody::Snapshot { records: Vec::new(), minions });
     let oldest_minion_age = DurationMs::new(400);
     let update = Update { body, oldest_minion_age, ..snapshot(5, 1) };
     node.apply(update, at(200)).unwrap();
-    let limit = at(100) + MINION_FRESHNESS_DURATION - oldest_minion_age;
+    let expiry = at(100) + MINION_FRESHNESS_DURATION - oldest_minion_age;
     assert_eq!(node.view().minions.len(), 2);
-    assert_eq!(node.fresh_until(), Some(limit), "not longer than a minion in the view");
+    assert_eq!(
+        node.fresh_until(),
+        Some(expiry),
+        "the view is not fresh after the expiry of a minion in it"
+    );
     node.start_stream();
     node.next_report(None, at(1_000));
-    let body = Some(UpdateBody::Snapshot { records: Vec::new(), minions: vec![listed("agent-2")] });
+    let body =
+        Some(UpdateBody::Snapshot { records: Vec::new(), minions: vec![minion_entry("agent-2")] });
     node.apply(Update { body, ..snapshot(5, 2) }, at(1_100)).unwrap();
-    assert_eq!(node.view().minions.len(), 2, "the new leader may not know agent-1 yet");
-    assert!(!node.expire(limit - DurationMs::new(1)));
-    assert!(node.expire(limit));
-    let left: Vec<&str> = node.view().minions.keys().map(NodeName::as_str).collect();
-    assert_eq!(left, ["agent-2"]);
+    assert_eq!(
+        node.view().minions.len(),
+        2,
+        "agent-1 stays until its expiry although the new leader does not list it"
+    );
+    assert!(!node.expire(expiry - DurationMs::new(1)));
+    assert!(node.expire(expiry));
+    let remaining: Vec<&str> = node.view().minions.keys().map(NodeName::as_str).collect();
+    assert_eq!(remaining, ["agent-2"]);
 }
 
-/// Guards against a minion that stays in the view although the leader removed it.
+/// Guards against a minion that stays in the view after the leader has removed it.
 #[test]
-fn removed_minion_is_dropped_at_once() {
+fn removed_minion_is_dropped() {
     let mut node = node();
     node.start_stream();
     node.next_report(None, at(100));
-    let body = Some(UpdateBody::Snapshot { records: Vec::new(), minions: vec![listed("agent-1")] });
+    let body =
+        Some(UpdateBody::Snapshot { records: Vec::new(), minions: vec![minion_entry("agent-1")] });
     node.apply(Update { body, ..snapshot(5, 1) }, at(200)).unwrap();
     let delta = Delta {
         base_revision: Revision::new(5),
--- a/crates/yuccatack_view/tests/store_updates.rs
+++ b/crates/yuccatack_view/tests/store_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of the record store reach a node's view.
+//! Views of nodes that follow the record store.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -13,7 +13,7 @@
     SubscriberState,
 };
 
-/// A step of the test: operation, replaced generation, kind, name and the other keys.
+/// Step of the test: operation, replaced generation, kind, name and the other keys of the document.
 type Step = (Operation, u64, RecordKind, &'static str, &'static str);
 
 const STEPS: [Step; 7] = [
@@ -33,12 +33,12 @@
 ];
 
 fn apply(store: &mut RecordStore, index: usize) -> RecordKey {
-    let (operation, replaces, kind, name, keys) = STEPS[index];
+    let (operation, replaced_generation, kind, name, keys) = STEPS[index];
     let document = format!(r#"{{"schema_version":1,"kind":"{kind}","name":"{name}",{keys}}}"#);
     let change = Change {
         change_id: ChangeId::new(&format!("step-{index}")),
         operation,
-        replaces_generation: Generation::new(replaces),
+        replaces_generation: Generation::new(replaced_generation),
         document: Arc::from(document),
     };
     let outcome = store.apply(&change, at(1));
@@ -55,8 +55,8 @@
     })
 }
 
-/// The records without jobs, which nodes do not get.
-fn check(node: &SubscriberState, store: &RecordStore) {
+/// Asserts that the view contains the records of the store except jobs, which are not published.
+fn assert_view_matches(node: &SubscriberState, store: &RecordStore) {
     let view = node.view();
     assert_eq!(view.revision, store.revision());
     let published = store.iter().filter(|(key, _)| key.kind != RecordKind::Job);
@@ -65,8 +65,8 @@
     assert_eq!(held, expected);
 }
 
-/// Guards against a change, withdrawal or job record that is left out or kept, by difference as
-/// well as by snapshot.
+/// Guards against a change or withdrawal that a node misses and against a job that is published,
+/// through deltas as well as through a snapshot.
 #[test]
 fn view_follows_the_store() {
     let mut store = RecordStore::default();
@@ -74,19 +74,19 @@
     publisher.become_leader(at(0));
     publisher.open(1, at(0)).unwrap();
     let mut follower = node("follower");
-    publisher.report(1, &follower.next_report(None, at(0)), at(0));
+    publisher.handle_report(1, &follower.next_report(None, at(0)), at(0));
     for index in 0..STEPS.len() {
         let key = apply(&mut store, index);
         publisher.publish(RecordUpdate::from_last_change(&store, &key), at(2));
         let update = publisher.next_update(1, at(2)).unwrap();
         follower.apply(update, at(2)).unwrap();
-        check(&follower, &store);
+        assert_view_matches(&follower, &store);
     }
     let records = store.iter().map(PublishedRecord::from).collect();
     publisher.reset(store.revision(), records, at(3));
     publisher.open(2, at(3)).unwrap();
-    let mut newcomer = node("newcomer");
-    publisher.report(2, &newcomer.next_report(None, at(3)), at(3));
-    newcomer.apply(publisher.next_update(2, at(3)).unwrap(), at(3)).unwrap();
-    check(&newcomer, &store);
+    let mut new_node = node("newcomer");
+    publisher.handle_report(2, &new_node.next_report(None, at(3)), at(3));
+    new_node.apply(publisher.next_update(2, at(3)).unwrap(), at(3)).unwrap();
+    assert_view_matches(&new_node, &store);
 }
--- a/crates/yuccatack_view/tests/stream_resume.rs
+++ b/crates/yuccatack_view/tests/stream_resume.rs
@@ -1,11 +1,11 @@
-//! What a stream is sent first, next, and not at all.
+//! Snapshots and deltas at the start of a stream, and the updates that follow.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
 
 use support::{at, key, minion, organisation, report, withdrawal};
 use yuccatack_core::prelude::*;
-use yuccatack_view::limits::{LOAD_INTERVAL, MAX_LOAD_ENTRIES, STREAM_IDLE_TIMEOUT};
+use yuccatack_view::limits::{LOAD_UPDATE_INTERVAL, MAX_LOAD_ENTRIES, STREAM_IDLE_TIMEOUT};
 use yuccatack_view::{MinionState, NodeRole, PublisherState, StreamId, Update, UpdateBody};
 
 fn leader_at_revision(revision: u64) -> PublisherState {
@@ -19,32 +19,32 @@
 
 fn subscribe(publisher: &mut PublisherState, stream: StreamId, applied: u64) -> Update {
     publisher.open(stream, at(10)).unwrap();
-    publisher.report(stream, &report("entry", NodeRole::Entry, 1, applied), at(10));
+    publisher.handle_report(stream, &report("entry", NodeRole::Entry, 1, applied), at(10));
     publisher.next_update(stream, at(10)).unwrap()
 }
 
-/// Guards against a new node that starts from a difference.
+/// Guards against a new node that misses records because its first delta is not complete.
 #[test]
-fn new_node_gets_difference_from_nothing_or_snapshot() {
+fn new_node_gets_complete_delta_or_snapshot() {
     let mut publisher = leader_at_revision(3);
     let update = subscribe(&mut publisher, 1, 0);
-    // Every change since revision 0 is known, so a difference from 0 is complete.
+    // The leader knows every change since revision 0, so a delta from 0 is complete.
     let Some(UpdateBody::Delta(delta)) = update.body else { panic!("{update:?}") };
     assert_eq!((delta.base_revision.get(), delta.changed_records.len()), (0, 1));
-    let records = leader_records();
+    let records = snapshot_records();
     publisher.reset(Revision::new(9), records, at(20));
     let update = subscribe(&mut publisher, 2, 0);
     let Some(UpdateBody::Snapshot { records, .. }) = update.body else { panic!("{update:?}") };
     assert_eq!((update.revision.get(), records.len()), (9, 2));
 }
 
-fn leader_records() -> Vec<yuccatack_view::PublishedRecord> {
+fn snapshot_records() -> Vec<yuccatack_view::PublishedRecord> {
     ["tri", "fin"].into_iter().flat_map(|name| organisation(name, 9).changed).collect()
 }
 
-/// Guards against a returning node that is sent everything again, or not everything.
+/// Guards against a returning node that receives all records again, or misses some of the changes.
 #[test]
-fn returning_node_gets_difference() {
+fn returning_node_gets_delta() {
     let mut publisher = leader_at_revision(3);
     publisher.publish(organisation("fin", 4), at(1));
     publisher.publish(withdrawal("tri", 5), at(2));
@@ -55,10 +55,10 @@
     assert_eq!(delta.changed_records.len(), 1);
     assert_eq!(delta.changed_records[0].revision.get(), 6);
     assert_eq!(delta.removed_records, [key("tri")]);
-    assert_eq!(publisher.next_update(1, at(11)), None, "nothing is new");
+    assert_eq!(publisher.next_update(1, at(11)), None, "nothing has changed");
 }
 
-/// Guards against a difference that leaves out changes that the leader no longer remembers.
+/// Guards against a delta that omits changes because the leader no longer keeps them.
 #[test]
 fn late_node_gets_snapshot() {
     let mut publisher = leader_at_revision(10_005);
@@ -68,12 +68,12 @@
     assert!(matches!(recent.body, Some(UpdateBody::Delta(_))), "{recent:?}");
 }
 
-/// Guards against a leader that takes a node back to an older revision.
+/// Guards against a leader that sends an older revision to a node that is ahead of it.
 #[test]
-fn node_ahead_gets_nothing() {
+fn node_ahead_gets_no_update() {
     let mut publisher = leader_at_revision(3);
     publisher.open(1, at(10)).unwrap();
-    publisher.report(1, &report("entry", NodeRole::Entry, 1, 5), at(10));
+    publisher.handle_report(1, &report("entry", NodeRole::Entry, 1, 5), at(10));
     publisher.confirm_leadership(at(20));
     assert_eq!(publisher.next_update(1, at(20)), None);
     publisher.publish(organisation("tri", 5), at(30));
@@ -83,21 +83,21 @@
     assert_eq!(delta.base_revision.get(), 5);
 }
 
-/// Guards against streams of lost machines that are kept for ever.
+/// Guards against streams of lost machines that are never closed.
 #[test]
-fn silent_stream_is_cut() {
+fn idle_stream_is_closed() {
     let mut publisher = leader_at_revision(1);
     subscribe(&mut publisher, 1, 0);
     subscribe(&mut publisher, 2, 0);
-    let limit = at(10) + STREAM_IDLE_TIMEOUT;
-    assert!(publisher.expire(limit).is_empty());
-    publisher.report(2, &report("entry", NodeRole::Entry, 2, 1), limit);
-    assert_eq!(publisher.expire(limit + DurationMs::new(1)), [1]);
-    assert_eq!(publisher.next_update(1, limit), None);
+    let idle_deadline = at(10) + STREAM_IDLE_TIMEOUT;
+    assert!(publisher.expire(idle_deadline).is_empty());
+    publisher.handle_report(2, &report("entry", NodeRole::Entry, 2, 1), idle_deadline);
+    assert_eq!(publisher.expire(idle_deadline + DurationMs::new(1)), [1]);
+    assert_eq!(publisher.next_update(1, idle_deadline), None);
 }
 
-/// Guards against changes in load that take more traffic the more minions there are, and against
-/// a minion whose load is never sent.
+/// Guards against traffic for changes in load that grows with the number of minions, and against a
+/// minion whose load is never sent because others take precedence.
 #[test]
 fn load_traffic_is_bounded() {
     let mut publisher = leader_at_revision(1);
@@ -110,7 +110,7 @@
             let mut report = report(&format!("agent-{index}"), NodeRole::Agent, sequence, 1);
             report.minion = Some(minion("m", MinionState::Ready, load));
             report.received_acknowledgement = sequence.saturating_sub(1);
-            publisher.report(100 + index, &report, now);
+            publisher.handle_report(100 + index, &report, now);
         }
     };
     report_all(&mut publisher, 1, 0, at(0));
@@ -121,17 +121,25 @@
     report_all(&mut publisher, 2, 0, at(10));
     let first = subscribe(&mut publisher, 1, 0);
     let Some(UpdateBody::Delta(delta)) = first.body else { panic!("{first:?}") };
-    assert_eq!(delta.changed_minions.len(), count, "a new stream gets every minion at once");
+    assert_eq!(
+        delta.changed_minions.len(),
+        count,
+        "a new stream gets all minions in its first update"
+    );
     let mut now = at(10);
-    let mut seen = std::collections::BTreeSet::new();
+    let mut updated_nodes = std::collections::BTreeSet::new();
     report_all(&mut publisher, 3, 5, now);
-    assert_eq!(publisher.next_update(1, now), None, "loads wait for their interval");
+    assert_eq!(
+        publisher.next_update(1, now),
+        None,
+        "changes in load are sent only once per interval"
+    );
     for _ in 0..3 {
-        now = now + LOAD_INTERVAL;
+        now = now + LOAD_UPDATE_INTERVAL;
         let update = publisher.next_update(1, now).unwrap();
         let Some(UpdateBody::Delta(delta)) = update.body else { panic!("{update:?}") };
         assert!(delta.changed_minions.len() <= MAX_LOAD_ENTRIES);
-        seen.extend(delta.changed_minions.iter().map(|minion| minion.node.clone()));
+        updated_nodes.extend(delta.changed_minions.iter().map(|minion| minion.node.clone()));
     }
-    assert_eq!(seen.len(), count);
+    assert_eq!(updated_nodes.len(), count);
 }
--- a/crates/yuccatack_view/tests/support/mod.rs
+++ b/crates/yuccatack_view/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers shared by the tests.
+//! Builders of messages, records and minions for the tests.
 #![allow(dead_code, clippy::unwrap_used, missing_docs)]
 
 use bytes::Bytes;
--- a/crates/yuccatack_view/tests/view_consistency/invariants.rs
+++ b/crates/yuccatack_view/tests/view_consistency/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold at every moment of a run.
+//! Invariants that hold throughout a run.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::node::Node;
 
-/// The promised limit for departures.
+/// Longest time for which a departed minion may still receive work.
 const DEPARTURE_LIMIT_MS: u64 = 3_000;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -29,42 +29,43 @@
     }
 }
 
-/// Generations by name at one revision.
+/// Generations of the records at one revision, by name.
 pub type Contents = BTreeMap<String, u64>;
 
 #[derive(Default)]
 pub struct Invariants {
     pub seed: u64,
-    /// The newest revision that any replica said is in force everywhere.
-    pub declared: u64,
-    /// The records at each revision.
+    /// Newest revision that any replica has reported as in force everywhere.
+    pub in_force_revision: u64,
+    /// Records at each revision.
     pub contents: Vec<Contents>,
-    pub newest_seen: BTreeMap<(NodeName, Incarnation), Revision>,
+    pub newest_revisions: BTreeMap<(NodeName, Incarnation), Revision>,
     pub departures: BTreeMap<(NodeName, Incarnation), u64>,
     pub summary: Summary,
 }
 
 impl Invariants {
-    /// A replica says that `revision` is in force everywhere.
-    pub fn declare(&mut self, revision: u64) {
-        if revision > self.declared {
-            self.declared = revision;
+    /// Records that a replica reports `revision` as in force everywhere.
+    pub fn record_in_force(&mut self, revision: u64) {
+        if revision > self.in_force_revision {
+            self.in_force_revision = revision;
             self.summary.declared_revisions += 1;
         }
     }
 
-    /// A process ends, is suspended or announces its departure.
-    pub fn depart(&mut self, node: &Node, now: u64) {
+    /// Records that a process ends, is suspended or announces its departure.
+    pub fn record_departure(&mut self, node: &Node, now: u64) {
         self.departures.entry((node.name.clone(), node.incarnation)).or_insert(now);
     }
 
-    /// A suspended process goes on.
-    pub fn resume(&mut self, node: &Node) {
+    /// Clears the departure of a process that runs again after a suspension.
+    pub fn clear_departure(&mut self, node: &Node) {
         self.departures.remove(&(node.name.clone(), node.incarnation));
     }
 
-    /// A running node tries to start work.
-    pub fn start_work(&mut self, node: &Node, now: u64) {
+    /// Lets a running node start work if its view is fresh, and checks the revision and the minions
+    /// that it would use.
+    pub fn try_work_start(&mut self, node: &Node, now: u64) {
         let view = node.state.view();
         let seed = self.seed;
         let fresh = node.state.fresh_until().is_some_and(|limit| now < limit.get());
@@ -74,11 +75,11 @@
         }
         self.summary.work_starts += 1;
         assert!(
-            view.revision.get() >= self.declared,
-            "seed {seed}, {now} ms: {} started work by revision {}, but {} is in force everywhere",
+            view.revision.get() >= self.in_force_revision,
+            "seed {seed}, {now} ms: {} started work at revision {}, but {} is in force everywhere",
             node.name,
             view.revision,
-            self.declared
+            self.in_force_revision
         );
         if node.role != NodeRole::Entry {
             return;
@@ -86,35 +87,40 @@
         let ready = view.minions.values().filter(|m| m.status.state == MinionState::Ready);
         for minion in ready {
             self.summary.dispatches += 1;
-            let departed = self.departures.get(&(minion.node.clone(), minion.incarnation));
-            let late = departed.is_some_and(|at| now > at + DEPARTURE_LIMIT_MS);
+            let departed_at = self.departures.get(&(minion.node.clone(), minion.incarnation));
+            let departed_too_long = departed_at.is_some_and(|at| now > at + DEPARTURE_LIMIT_MS);
             assert!(
-                !late,
-                "seed {seed}, {now} ms: {} chose the minion of {} that left at {departed:?} ms",
+                !departed_too_long,
+                "seed {seed}, {now} ms: {} chose the minion of {} that departed at {departed_at:?} ms",
                 node.name, minion.node
             );
         }
     }
 
-    /// A node's view changed.
+    /// Checks that the changed view of a node did not regress and contains the records of its
+    /// revision.
     pub fn check_view(&mut self, node: &Node, now: u64) {
         let view = node.state.view();
         let seed = self.seed;
         let key = (node.name.clone(), node.incarnation);
-        let newest = self.newest_seen.entry(key).or_default();
+        let newest = self.newest_revisions.entry(key).or_default();
         assert!(
             view.revision >= *newest,
-            "seed {seed}, {now} ms: {} went back from revision {newest} to {}",
+            "seed {seed}, {now} ms: {} regressed from revision {newest} to {}",
             node.name,
             view.revision
         );
         *newest = view.revision;
-        let held: Contents = view
+        let view_contents: Contents = view
             .records
             .iter()
             .map(|(key, entry)| (key.name.to_string(), entry.generation.get()))
             .collect();
         let index = usize::try_from(view.revision.get()).unwrap();
-        assert_eq!(held, self.contents[index], "seed {seed}, {now} ms: {}", node.name);
+        assert_eq!(
+            view_contents, self.contents[index],
+            "seed {seed}, {now} ms: records of {}",
+            node.name
+        );
     }
 }
--- a/crates/yuccatack_view/tests/view_consistency/network.rs
+++ b/crates/yuccatack_view/tests/view_consistency/network.rs
@@ -1,4 +1,4 @@
-//! A stream between a node and a replica: two ordered queues with delays, stalls and loss.
+//! Simulated stream between a node and a replica: two ordered queues with delays, stalls and loss.
 
 use std::collections::VecDeque;
 
@@ -6,15 +6,15 @@
 use rand_chacha::ChaCha8Rng;
 use yuccatack_view::{Report, Update};
 
-/// Updates that fit into the buffers of a stream.
-const DOWN_CAPACITY: usize = 4;
+/// Number of updates that the buffers of a stream hold.
+const DOWN_CAPACITY_MESSAGES: usize = 4;
 
-pub enum Up {
+pub enum NodeMessage {
     Open,
     Report(Report),
 }
 
-pub enum Down {
+pub enum ReplicaMessage {
     Update(Update),
     NotLeader(Option<usize>),
 }
@@ -29,9 +29,9 @@
         Self { queue: VecDeque::new(), stalled_until: 0 }
     }
 
-    pub fn send(&mut self, message: Message, now: u64, random: &mut ChaCha8Rng) {
+    pub fn send(&mut self, message: Message, now: u64, rng: &mut ChaCha8Rng) {
         let earliest = self.queue.back().map_or(0, |(at, _)| *at);
-        let arrival = now + random.random_range(1..60);
+        let arrival = now + rng.random_range(1..60);
         self.queue.push_back((arrival.max(earliest), message));
     }
 
@@ -51,11 +51,11 @@
 pub struct Link {
     pub node: usize,
     pub replica: usize,
-    pub up: Direction<Up>,
-    pub down: Direction<Down>,
-    /// The node has given the stream up; what it sent before may still arrive.
+    pub up: Direction<NodeMessage>,
+    pub down: Direction<ReplicaMessage>,
+    /// True once the node has closed the stream. Messages sent before may still arrive.
     pub closed_by_node: bool,
-    /// The replica has ended the stream.
+    /// True once the replica has closed the stream.
     pub closed_by_replica: bool,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    pub fn takes_update(&self) -> bool {
-        self.down.queue.len() < DOWN_CAPACITY
+    pub fn has_capacity(&self) -> bool {
+        self.down.queue.len() < DOWN_CAPACITY_MESSAGES
     }
 }
--- a/crates/yuccatack_view/tests/view_consistency/node.rs
+++ b/crates/yuccatack_view/tests/view_consistency/node.rs
@@ -1,4 +1,4 @@
-//! A node with its subscriber.
+//! Simulated node with its subscriber and minion.
 
 use yuccatack_core::prelude::*;
 use yuccatack_view::{MinionState, MinionStatus, NodeIdentity, NodeRole, SubscriberState};
@@ -11,14 +11,14 @@
     pub link: Option<u64>,
     pub hint: Option<usize>,
     pub reconnect_at: u64,
-    pub silent_at: u64,
+    pub idle_deadline: u64,
     pub report_at: u64,
     pub suspended_until: u64,
-    /// Set while the process is dead.
+    /// Time of the restart; `None` while the process exists.
     pub restart_at: Option<u64>,
     pub minion_state: MinionState,
-    /// Set once the minion of this incarnation leaves; the process ends then.
-    pub ends_at: Option<u64>,
+    /// Time at which the process ends; set once its end or the departure of its minion is decided.
+    pub terminates_at: Option<u64>,
 }
 
 impl Node {
@@ -39,16 +39,16 @@
             link: None,
             hint: None,
             reconnect_at: 0,
-            silent_at: 0,
+            idle_deadline: 0,
             report_at: 0,
             suspended_until: 0,
             restart_at: None,
             minion_state: MinionState::Ready,
-            ends_at: None,
+            terminates_at: None,
         }
     }
 
-    pub fn runs(&self, now: u64) -> bool {
+    pub fn is_running(&self, now: u64) -> bool {
         self.restart_at.is_none() && now >= self.suspended_until
     }
 
--- a/crates/yuccatack_view/tests/wire_conversion.rs
+++ b/crates/yuccatack_view/tests/wire_conversion.rs
@@ -1,4 +1,4 @@
-//! Reports and updates survive their encoding, and nonsense is refused.
+//! Encoding and decoding of reports and updates.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 mod support;
@@ -19,9 +19,9 @@
     })
 }
 
-/// Guards against a field that is lost or exchanged on the way.
+/// Guards against a field that the conversion drops or swaps with another one.
 #[test]
-fn messages_survive() {
+fn messages_round_trip() {
     let mut sent = report("agent", NodeRole::Agent, 9, 8);
     sent.minion = Some(minion("m", MinionState::Unhealthy, 3));
     sent.leaving = true;
@@ -51,18 +51,18 @@
     }
 }
 
-/// Guards against a message of another version that is taken for something else.
+/// Guards against a message of another version that is misinterpreted instead of rejected.
 #[test]
-fn nonsense_is_refused() {
-    let good = wire::NodeReport::from(report("agent", NodeRole::Agent, 1, 1));
-    let bad = [
-        wire::NodeReport { role: 0, ..good.clone() },
-        wire::NodeReport { role: 99, ..good.clone() },
-        wire::NodeReport { node: String::new(), ..good.clone() },
-        wire::NodeReport { data_centre: "a b".to_owned(), ..good.clone() },
-        wire::NodeReport { minion: Some(wire::MinionReport::default()), ..good },
+fn invalid_reports_are_rejected() {
+    let valid = wire::NodeReport::from(report("agent", NodeRole::Agent, 1, 1));
+    let invalid = [
+        wire::NodeReport { role: 0, ..valid.clone() },
+        wire::NodeReport { role: 99, ..valid.clone() },
+        wire::NodeReport { node: String::new(), ..valid.clone() },
+        wire::NodeReport { data_centre: "a b".to_owned(), ..valid.clone() },
+        wire::NodeReport { minion: Some(wire::MinionReport::default()), ..valid },
     ];
-    for report in bad {
+    for report in invalid {
         let error = Report::try_from(report).unwrap_err().to_string();
         assert!(error.contains("run the same version"), "{error}");
     }
