--- a/crates/yuccatack_view/src/lib.rs
+++ b/crates/yuccatack_view/src/lib.rs
@@ -1,5 +1,4 @@
-//! Read-only view of the records and minions that entries and agents subscribe to, and node
-//! freshness.
+//! Read-only view of records and minions for entries and agents, and the freshness of nodes.
 //!
 //! Every control replica runs a [`ViewPublisher`], and the one of the leader serves the streams.
 //! Every entry and agent runs a [`ViewSubscriber`]. A node starts new work only while its view is
--- a/crates/yuccatack_view/src/publisher/actor.rs
+++ b/crates/yuccatack_view/src/publisher/actor.rs
@@ -75,14 +75,12 @@
         Self { messages }
     }
 
-    /// Replaces all records, at the start and after a snapshot of the replicated state is
-    /// installed.
+    /// Replaces all records, at the start and after an installed snapshot of the replicated state.
     pub async fn reset(&self, revision: Revision, records: Vec<PublishedRecord>) {
         self.send(PublisherMessage::Reset { revision, records }).await;
     }
 
-    /// Publishes one committed change. It must be called in the order of revisions, on followers
-    /// too.
+    /// Publishes one committed change. It must be called in revision order, also on followers.
     pub async fn publish(&self, update: RecordUpdate) {
         self.send(PublisherMessage::Publish(update)).await;
     }
--- a/crates/yuccatack_view/src/publisher/nodes.rs
+++ b/crates/yuccatack_view/src/publisher/nodes.rs
@@ -112,8 +112,7 @@
         &self.minions
     }
 
-    /// Returns a version that changes when a minion is added, is removed or needs different
-    /// routing.
+    /// Returns a version that changes when a minion is added, removed or routed differently.
     pub const fn route_version(&self) -> u64 {
         self.route_version
     }
--- a/crates/yuccatack_view/src/publisher/state.rs
+++ b/crates/yuccatack_view/src/publisher/state.rs
@@ -133,8 +133,8 @@
     /// Records that a quorum confirmed after `confirmed_at` that this replica is the leader.
     ///
     /// Reports received before that time are acknowledged, because no other leader can have
-    /// committed a change before a node sent them. Every change committed by then must be published
-    /// here.
+    /// committed a change before a node sent them. Every change committed by then must already be
+    /// published here.
     pub fn confirm_leadership(&mut self, confirmed_at: TimestampMs) {
         while let Some((revision, published_at)) = self.unconfirmed_revisions.front().copied()
             && published_at < confirmed_at
--- a/crates/yuccatack_view/src/publisher/stream.rs
+++ b/crates/yuccatack_view/src/publisher/stream.rs
@@ -7,8 +7,7 @@
 use crate::message::{NodeRole, Report};
 
 /// Maximum number of reports that wait for a confirmation of leadership. A node sends two a second,
-/// so a longer queue means that confirmations fail and that the oldest reports are too old to be of
-/// use.
+/// so in a longer queue no confirmation has arrived and the oldest reports have become useless.
 const MAX_UNCONFIRMED_REPORTS: usize = 32;
 
 /// Versions of a minion that were last sent on a stream; see `ListedMinion`.
@@ -97,8 +96,7 @@
         self.acknowledged_sequence
     }
 
-    /// Marks the reports received before `confirmed_at` as confirmed, so that they are
-    /// acknowledged.
+    /// Marks the reports received before `confirmed_at` as ready for acknowledgement.
     pub fn confirm(&mut self, confirmed_at: TimestampMs) {
         while let Some((sequence, received_at)) = self.unconfirmed_reports.front() {
             // Equal times do not count, because both are rounded down to milliseconds.
--- a/crates/yuccatack_view/src/subscriber/connection.rs
+++ b/crates/yuccatack_view/src/subscriber/connection.rs
@@ -21,8 +21,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of reports that wait to be sent.
 const REPORT_QUEUE_LENGTH: usize = 4;
-/// Maximum length of a received update. The largest update is a snapshot of the records without
-/// jobs.
+/// Maximum length of a received update. The longest is a snapshot of all records except jobs.
 const MAX_UPDATE_LENGTH_BYTES: usize = 16 << 20;
 
 /// Reason for the end of a view stream.
--- a/crates/yuccatack_view/src/subscriber/state.rs
+++ b/crates/yuccatack_view/src/subscriber/state.rs
@@ -115,8 +115,7 @@
         Some(self.next_expiry().map_or(confirmed_until, |expiry| confirmed_until.min(expiry)))
     }
 
-    /// Returns the time of the first expiry of a minion in the view, at which [`Self::expire`] is
-    /// due.
+    /// Returns the time at which the first minion in the view expires and [`Self::expire`] is due.
     pub fn next_expiry(&self) -> Option<TimestampMs> {
         let minions = self.view.minions.keys();
         minions.filter_map(|node| self.minion_expiries.get(node)).copied().min()
--- a/crates/yuccatack_view/tests/node_freshness.rs
+++ b/crates/yuccatack_view/tests/node_freshness.rs
@@ -83,8 +83,7 @@
     assert_eq!(node.fresh_until(), None);
 }
 
-/// Guards against changes that a node skips because an update starts after the revision of the
-/// node.
+/// Guards against changes that a node skips because an update starts after its revision.
 #[test]
 fn revision_gap_is_rejected() {
     let mut node = node();
@@ -99,8 +98,7 @@
     assert_eq!(node.view().revision, applied);
 }
 
-/// Guards against a node that reports a revision as applied although it cannot decode a record of
-/// it.
+/// Guards against a node that reports a revision as applied although it cannot decode its record.
 #[test]
 fn undecodable_record_is_not_applied() {
     let mut node = node();
--- a/crates/yuccatack_view/tests/view_consistency/faults.rs
+++ b/crates/yuccatack_view/tests/view_consistency/faults.rs
@@ -124,8 +124,7 @@
         self.nodes[index].terminates_at.get_or_insert(killed_at);
     }
 
-    /// Ends a process and soon suspends an entry, which resumes about 3 s after the end of the
-    /// process.
+    /// Ends a process and soon suspends an entry, until about 3 s after the end of the process.
     fn kill_and_suspend_entry(&mut self, index: usize) {
         self.kill(index);
         let entry = self.rng.random_range(0..ENTRY_COUNT);
--- a/crates/yuccatack_view/tests/view_consistency/invariants.rs
+++ b/crates/yuccatack_view/tests/view_consistency/invariants.rs
@@ -97,8 +97,7 @@
         }
     }
 
-    /// Checks that the changed view of a node did not regress and contains the records of its
-    /// revision.
+    /// Checks that a changed view did not regress and contains the records of its revision.
     pub fn check_view(&mut self, node: &Node, now: u64) {
         let view = node.state.view();
         let seed = self.seed;
