--- a/crates/yuccatack_agent/src/actor.rs
+++ b/crates/yuccatack_agent/src/actor.rs
@@ -1,4 +1,4 @@
-//! The task that owns the attempts, the slots and the idle connections.
+//! The agent's actor, which owns the attempts, the slots and the idle connections.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,21 +17,21 @@
 use crate::message::AgentMessage;
 use crate::report::LoadReport;
 
-/// How often a minion without exchanges is probed.
+/// Interval between probes of a minion without running exchanges.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a probe may take.
+/// Time after which a probe without a connection counts as failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The entries that may wait for one attempt.
-const WAITER_LIMIT: usize = 16;
+/// Number of callers that may wait for the same attempt; further ones get `Running` at once.
+const MAX_WAITER_COUNT: usize = 16;
 
-/// The owner of the agent's state.
+/// Owns the agent's state and handles [`AgentMessage`]s.
 pub struct Actor {
     settings: AgentSettings,
     table: AttemptTable,
     report: LoadReport,
     reports: watch::Sender<Option<MinionStatus>>,
     view: ViewHandle,
-    idle: Vec<MinionConnection>,
+    idle_connections: Vec<MinionConnection>,
     waiters: FastHashMap<AttemptId, Vec<oneshot::Sender<Resolution>>>,
     messages: mpsc::Receiver<AgentMessage>,
     sender: mpsc::Sender<AgentMessage>,
@@ -40,45 +40,45 @@
     probing: bool,
 }
 
-/// The parts of an actor that come from outside.
+/// Dependencies of an [`Actor`].
 pub struct ActorInputs {
-    /// The settings.
+    /// Settings of the agent process.
     pub settings: AgentSettings,
-    /// The agent's incarnation.
+    /// Incarnation that attempts must be addressed to.
     pub incarnation: Incarnation,
-    /// The status that the agent starts with.
+    /// Initial status of the minion.
     pub status: MinionStatus,
-    /// Where reports go.
+    /// Channel that publishes the minion's status.
     pub reports: watch::Sender<Option<MinionStatus>>,
-    /// The node's view.
+    /// View of the records; new attempts start only while it is fresh.
     pub view: ViewHandle,
-    /// Where the number of attempts in flight goes.
+    /// Channel that publishes the number of attempts in flight.
     pub in_flight: watch::Sender<usize>,
-    /// Counts calls and connections.
+    /// Metrics of calls and connections.
     pub metrics: AgentMetrics,
 }
 
-/// The wall clock, which attempt identifiers carry.
-fn wall_clock() -> TimestampMs {
+/// Returns the wall-clock time, since attempt identifiers carry wall-clock times.
+fn wall_clock_now() -> TimestampMs {
     let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let milliseconds = since_epoch.map_or(0, |duration| duration.as_millis());
     TimestampMs::new(u64::try_from(milliseconds).unwrap_or(u64::MAX))
 }
 
 impl Actor {
-    /// Builds the actor and the sender of messages to it.
+    /// Creates the actor and the sender of messages to it.
     pub fn new(inputs: ActorInputs) -> (Self, mpsc::Sender<AgentMessage>) {
         let (sender, messages) = mpsc::channel(1024);
-        // Each exchange holds one connection, so that the slots also bound the connections.
-        let slots = inputs.settings.slot_count.min(inputs.settings.connection_count);
-        let limits = AttemptLimits { slot_count: slots as usize, ..AttemptLimits::default() };
+        // Each exchange uses one connection, so the connection count also limits the slots.
+        let slot_count = inputs.settings.slot_count.min(inputs.settings.connection_count);
+        let limits = AttemptLimits { slot_count: slot_count as usize, ..AttemptLimits::default() };
         let actor = Self {
             table: AttemptTable::new(inputs.incarnation, limits),
             report: LoadReport::new(inputs.status),
             reports: inputs.reports,
             view: inputs.view,
             settings: inputs.settings,
-            idle: Vec::new(),
+            idle_connections: Vec::new(),
             waiters: FastHashMap::default(),
             messages,
             sender: sender.clone(),
@@ -89,7 +89,7 @@
         (actor, sender)
     }
 
-    /// Runs until the task is aborted; the process ends it once the drain is complete.
+    /// Runs until the task is aborted, which the process does once the drain is complete.
     pub async fn run(mut self) {
         let mut probe_ticks = interval(PROBE_INTERVAL);
         probe_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -100,7 +100,7 @@
                     None => return,
                 },
                 _ = probe_ticks.tick() => {
-                    self.table.evict_expired(wall_clock());
+                    self.table.evict_expired(wall_clock_now());
                     self.probe();
                 }
             }
@@ -112,7 +112,7 @@
         match message {
             AgentMessage::Start { head, content, reply } => self.start(head, content, reply),
             AgentMessage::Resolve { attempt, incarnation, organisation, wait, reply } => {
-                let now = wall_clock();
+                let now = wall_clock_now();
                 let resolution = self.table.resolve(attempt, incarnation, &organisation, now);
                 if resolution == Resolution::Running && !wait.is_zero() {
                     return self.add_waiter(attempt, reply);
@@ -122,7 +122,7 @@
             AgentMessage::ExchangeEnded { attempt, outcome, duration, connection } => {
                 self.report.exchange_ended(&outcome, duration);
                 self.metrics.count_call(outcome_label(&outcome));
-                self.idle.extend(connection);
+                self.idle_connections.extend(connection);
                 self.finish(attempt, outcome);
             }
             AgentMessage::Probed { reachable } => {
@@ -132,11 +132,11 @@
             AgentMessage::ListRunning { reply } => {
                 let _ = reply.send(self.table.running().collect());
             }
-            AgentMessage::Leave { left } => {
+            AgentMessage::StartDraining { started } => {
                 self.table.start_draining();
-                self.report.leave();
+                self.report.start_draining();
                 self.publish();
-                let _ = left.send(());
+                let _ = started.send(());
             }
         }
     }
@@ -144,7 +144,7 @@
     fn add_waiter(&mut self, attempt: AttemptId, reply: oneshot::Sender<Resolution>) {
         let waiters = self.waiters.entry(attempt).or_default();
         waiters.retain(|waiter| !waiter.is_closed());
-        if waiters.len() >= WAITER_LIMIT {
+        if waiters.len() >= MAX_WAITER_COUNT {
             let _ = reply.send(Resolution::Running);
             return;
         }
@@ -157,10 +157,10 @@
         content: RequestContent,
         reply: oneshot::Sender<Resolution>,
     ) {
-        let fresh = self.view.is_fresh(Instant::now());
-        let now = wall_clock();
+        let view_is_fresh = self.view.is_fresh(Instant::now());
+        let now = wall_clock_now();
         let organisation = &content.organisation;
-        match self.table.start(head.attempt, head.incarnation, organisation, fresh, now) {
+        match self.table.start(head.attempt, head.incarnation, organisation, view_is_fresh, now) {
             StartDecision::Run => {
                 self.add_waiter(head.attempt, reply);
                 self.spawn_exchange(head, content);
@@ -183,25 +183,25 @@
             deadline: deadline.into(),
             view: self.view.clone(),
             body_limit_bytes: self.settings.body_limit_bytes,
-            idle: self.take_idle(),
+            idle_connection: self.pop_idle_connection(),
         };
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let started = Instant::now();
-            let end = run_exchange(exchange).await;
+            let result = run_exchange(exchange).await;
             let message = AgentMessage::ExchangeEnded {
                 attempt: head.attempt,
-                outcome: end.outcome,
+                outcome: result.outcome,
                 duration: started.elapsed(),
-                connection: end.connection,
+                connection: result.connection,
             };
-            // The actor only ends with the process.
+            // The actor runs as long as the process, so a failed send needs no handling.
             let _ = sender.send(message).await;
         });
     }
 
-    fn take_idle(&mut self) -> Option<MinionConnection> {
-        while let Some(connection) = self.idle.pop() {
+    fn pop_idle_connection(&mut self) -> Option<MinionConnection> {
+        while let Some(connection) = self.idle_connections.pop() {
             if connection.is_ready() {
                 return Some(connection);
             }
@@ -210,7 +210,7 @@
     }
 
     fn finish(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let now = wall_clock();
+        let now = wall_clock_now();
         let shared = Arc::new(outcome);
         self.table.finish(attempt, Arc::clone(&shared), now);
         for waiter in self.waiters.remove(&attempt).unwrap_or_default() {
@@ -219,13 +219,13 @@
     }
 
     fn probe(&mut self) {
-        self.idle.retain(MinionConnection::is_open);
+        self.idle_connections.retain(MinionConnection::is_open);
         let running = self.table.running_count();
-        let connections = running + self.idle.len();
-        // Exchanges tell by themselves whether the minion can be reached.
+        let connections = running + self.idle_connections.len();
+        // A running exchange already shows that the minion is reachable.
         let needed = running == 0 || self.report.status().state == MinionState::Unhealthy;
-        let room = connections < self.settings.connection_count as usize;
-        if self.probing || !needed || !room {
+        let has_capacity = connections < self.settings.connection_count as usize;
+        if self.probing || !needed || !has_capacity {
             return;
         }
         self.probing = true;
@@ -242,7 +242,7 @@
     fn publish(&mut self) {
         let running = self.table.running_count();
         self.report.set_slots_in_use(u32::try_from(running).unwrap_or(u32::MAX));
-        let connections = running + self.idle.len();
+        let connections = running + self.idle_connections.len();
         self.metrics.set_connections_open(u32::try_from(connections).unwrap_or(u32::MAX));
         let status = self.report.status();
         self.reports.send_if_modified(|current| {
--- a/crates/yuccatack_agent/src/error.rs
+++ b/crates/yuccatack_agent/src/error.rs
@@ -4,39 +4,39 @@
 
 use snafu::Snafu;
 
-/// Why the agent ended otherwise than by a completed drain.
+/// Reason why the agent ended before it had drained.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum AgentError {
-    /// The listening address is not available.
+    /// The listen address is in use or not on this machine.
     #[snafu(display(
         "cannot listen on {address}: {source}; free the address or change `listen_address`"
     ))]
     Listen {
-        /// The address.
+        /// Value of the setting `listen_address`.
         address: SocketAddr,
-        /// The cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The server for entries failed.
     #[snafu(display("the server for entries failed: {source}; restart the agent"))]
     Serve {
-        /// The cause.
+        /// Error of the gRPC server.
         source: tonic::transport::Error,
     },
-    /// The metrics are not served.
+    /// The metrics server did not start.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Why.
+        /// Error of the metrics server, with its address.
         source: yuccatack_telemetry::MetricsServerError,
     },
-    /// The process was ended before the drain completed.
+    /// The process was aborted before the drain completed.
     #[snafu(display(
-        "ended during the drain with {attempt_count} attempts still running; their outcome is \
-         unknown to callers; raise `drain_limit_ms` if they only needed longer"
+        "aborted during the drain with {attempt_count} attempts still running; their outcome is \
+         unknown to callers; raise `drain_limit_ms` if the attempts only needed more time"
     ))]
     Aborted {
-        /// The attempts that were left.
+        /// Number of attempts that were still running.
         attempt_count: usize,
     },
 }
--- a/crates/yuccatack_agent/src/exchange.rs
+++ b/crates/yuccatack_agent/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with the minion.
+//! An HTTP exchange with the minion: sends the request of an attempt and reads the response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,14 +16,14 @@
 
 use crate::connection::MinionConnection;
 
-/// The header that names the attempt to the minion. A minion that echoes it lets the agent detect
-/// answers that were mixed up between connections.
+/// Name of the header that holds the attempt id. A minion that echoes it lets the agent detect
+/// responses that were swapped between connections.
 pub const ATTEMPT_HEADER: &str = "yuccatack-attempt";
-/// The header that names the organisation to the minion.
+/// Name of the header that holds the organisation; checked like [`ATTEMPT_HEADER`] if echoed.
 pub const ORGANISATION_HEADER: &str = "yuccatack-organisation";
 
-/// Headers that concern one connection and are not passed on.
-const CONNECTION_HEADERS: [&str; 9] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -35,47 +35,47 @@
     "content-length",
 ];
 
-/// What an exchange needs.
+/// Inputs of [`run_exchange`].
 #[derive(Debug)]
 pub struct Exchange {
-    /// The attempt.
+    /// Id that is sent in [`ATTEMPT_HEADER`].
     pub attempt: AttemptId,
-    /// The request.
+    /// Request to send.
     pub content: RequestContent,
-    /// Where the minion answers.
+    /// Address of the minion.
     pub minion_address: SocketAddr,
-    /// When the answer is no longer wanted, counted from the arrival of the attempt.
+    /// Time at which the caller gives up, computed when the attempt arrived.
     pub deadline: Instant,
-    /// Tells whether new work may still start when the request is sent.
+    /// View of the records; the request is sent only while it is fresh.
     pub view: ViewHandle,
-    /// The largest answer.
+    /// Maximum size of the response body.
     pub body_limit_bytes: u64,
-    /// An idle connection, if there is one.
-    pub idle: Option<MinionConnection>,
+    /// Idle connection to reuse; `None` opens a new one.
+    pub idle_connection: Option<MinionConnection>,
 }
 
-/// What an exchange leaves.
+/// Result of [`run_exchange`].
 #[derive(Debug)]
-pub struct ExchangeEnd {
-    /// What became of the request.
+pub struct ExchangeResult {
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// The connection, if another exchange may use it.
+    /// Connection, if another exchange can use it.
     pub connection: Option<MinionConnection>,
 }
 
-impl From<Outcome> for ExchangeEnd {
+impl From<Outcome> for ExchangeResult {
     fn from(outcome: Outcome) -> Self {
         Self { outcome, connection: None }
     }
 }
 
-impl From<NotRun> for ExchangeEnd {
+impl From<NotRun> for ExchangeResult {
     fn from(not_run: NotRun) -> Self {
         Outcome::from(not_run).into()
     }
 }
 
-fn unknown(reason: UnknownReason, detail: &str) -> ExchangeEnd {
+fn unknown(reason: UnknownReason, detail: &str) -> ExchangeResult {
     Outcome::from(Unknown::new(reason, detail)).into()
 }
 
@@ -91,7 +91,7 @@
     *request.uri_mut() = uri;
     let headers = request.headers_mut();
     for header in &content.headers {
-        if CONNECTION_HEADERS.contains(&header.name.as_ref()) || *header.name == *"host" {
+        if HOP_BY_HOP_HEADERS.contains(&header.name.as_ref()) || *header.name == *"host" {
             continue;
         }
         let name = HeaderName::from_bytes(header.name.as_bytes()).ok()?;
@@ -105,8 +105,8 @@
     Some(request)
 }
 
-/// Runs an exchange to its end. Dropping the future closes the connection.
-pub async fn run_exchange(exchange: Exchange) -> ExchangeEnd {
+/// Runs an exchange to completion. Dropping the future closes the connection.
+pub async fn run_exchange(exchange: Exchange) -> ExchangeResult {
     let deadline = exchange.deadline;
     let request = build_request(exchange.attempt, &exchange.content, exchange.minion_address);
     let Some(request) = request else {
@@ -118,10 +118,10 @@
     };
     let mut request = request;
     // The process may have been paused since the attempt was accepted.
-    if let Some(refusal) = late_refusal(&exchange.view, deadline) {
+    if let Some(refusal) = refusal_before_send(&exchange.view, deadline) {
         return refusal.into();
     }
-    if let Some(connection) = exchange.idle {
+    if let Some(connection) = exchange.idle_connection {
         match send(
             connection,
             request,
@@ -132,9 +132,9 @@
         )
         .await
         {
-            SendEnd::Ended(end) => return end,
-            // The minion closed the idle connection; not a byte of the request was written.
-            SendEnd::NotSent(returned) => request = returned,
+            SendResult::Finished(result) => return result,
+            // The minion closed the idle connection before any byte of the request was written.
+            SendResult::NotSent(unsent) => request = unsent,
         }
     }
     let connection =
@@ -153,8 +153,8 @@
                 .into();
             }
         };
-    // Opening the connection may have taken longer than the view stays fresh.
-    if let Some(refusal) = late_refusal(&exchange.view, deadline) {
+    // The deadline may have passed or the view become stale while the connection was opened.
+    if let Some(refusal) = refusal_before_send(&exchange.view, deadline) {
         return refusal.into();
     }
     let sent = send(
@@ -166,8 +166,8 @@
         exchange.body_limit_bytes,
     );
     match sent.await {
-        SendEnd::Ended(end) => end,
-        SendEnd::NotSent(_) => NotRun::retryable(
+        SendResult::Finished(result) => result,
+        SendResult::NotSent(_) => NotRun::retryable(
             NotRunReason::MinionUnreachable,
             1_000,
             "the minion closed the connection before the request was sent",
@@ -176,8 +176,8 @@
     }
 }
 
-/// Why a request that was accepted may not be sent any more.
-fn late_refusal(view: &ViewHandle, deadline: Instant) -> Option<NotRun> {
+/// Returns the refusal of an accepted request if its deadline has passed or the view is stale.
+fn refusal_before_send(view: &ViewHandle, deadline: Instant) -> Option<NotRun> {
     let now = Instant::now();
     if now >= deadline {
         return Some(NotRun::retryable(
@@ -196,8 +196,9 @@
     None
 }
 
-enum SendEnd {
-    Ended(ExchangeEnd),
+enum SendResult {
+    Finished(ExchangeResult),
+    /// No byte was written, so the request can be sent on another connection.
     NotSent(Request<Full<Bytes>>),
 }
 
@@ -208,28 +209,28 @@
     attempt: AttemptId,
     deadline: Instant,
     body_limit_bytes: u64,
-) -> SendEnd {
+) -> SendResult {
     let response = match timeout_at(deadline, connection.sender.try_send_request(request)).await {
         Ok(Ok(response)) => response,
         Ok(Err(mut error)) => {
             if let Some(request) = error.take_message() {
-                return SendEnd::NotSent(request);
+                return SendResult::NotSent(request);
             }
             let detail = format!("the connection to the minion broke: {}", error.error());
-            return SendEnd::Ended(unknown(UnknownReason::MinionConnection, &detail));
+            return SendResult::Finished(unknown(UnknownReason::MinionConnection, &detail));
         }
         Err(_) => {
-            return SendEnd::Ended(unknown(
+            return SendResult::Finished(unknown(
                 UnknownReason::Deadline,
                 "the minion did not answer before the deadline",
             ));
         }
     };
-    let read = read_answer(response, content, attempt, body_limit_bytes);
-    let end = match timeout_at(deadline, read).await {
+    let read = read_response(response, content, attempt, body_limit_bytes);
+    let result = match timeout_at(deadline, read).await {
         Ok(Ok(answer)) => {
             let reusable = connection.is_open();
-            ExchangeEnd {
+            ExchangeResult {
                 outcome: Outcome::Completed(answer),
                 connection: reusable.then_some(connection),
             }
@@ -240,50 +241,51 @@
             "the minion's answer was not whole before the deadline",
         ),
     };
-    SendEnd::Ended(end)
+    SendResult::Finished(result)
 }
 
 fn invalid_answer(detail: &str) -> Unknown {
     Unknown::new(UnknownReason::InvalidAnswer, detail)
 }
 
-/// Whether the end of the body is marked, so that a truncated body can be told from a whole one.
-fn has_marked_end(response: &Response<Incoming>) -> bool {
+/// Returns `true` if the body has a length or is chunked, so that a truncated body is detected.
+fn has_delimited_body(response: &Response<Incoming>) -> bool {
     let chunked = response.headers().get("transfer-encoding").is_some();
     chunked || response.body().is_end_stream() || response.body().size_hint().exact().is_some()
 }
 
-fn check_echo(
+/// Rejects a response that echoes the id of another attempt or another organisation.
+fn check_echoed_headers(
     headers: &HeaderMap,
     content: &RequestContent,
     attempt: AttemptId,
 ) -> Result<(), Unknown> {
-    let same = |name: &str, expected: &str| {
+    let is_absent_or_equal = |name: &str, expected: &str| {
         headers.get(name).is_none_or(|value| value.as_bytes() == expected.as_bytes())
     };
-    if !same(ATTEMPT_HEADER, &attempt.to_string()) {
+    if !is_absent_or_equal(ATTEMPT_HEADER, &attempt.to_string()) {
         return Err(invalid_answer("the minion's answer names another attempt"));
     }
-    if !same(ORGANISATION_HEADER, content.organisation.as_str()) {
+    if !is_absent_or_equal(ORGANISATION_HEADER, content.organisation.as_str()) {
         return Err(invalid_answer("the minion's answer names another organisation"));
     }
     Ok(())
 }
 
-async fn read_answer(
+async fn read_response(
     response: Response<Incoming>,
     content: &RequestContent,
     attempt: AttemptId,
     body_limit_bytes: u64,
 ) -> Result<Answer, Unknown> {
-    check_echo(response.headers(), content, attempt)?;
-    if !has_marked_end(&response) {
+    check_echoed_headers(response.headers(), content, attempt)?;
+    if !has_delimited_body(&response) {
         return Err(invalid_answer(
             "the minion's answer has neither a length nor chunks, so that it may be truncated",
         ));
     }
     let status = response.status().as_u16();
-    let headers = answer_headers(response.headers());
+    let headers = response_headers(response.headers());
     let mut body = response.into_body();
     let mut collector = BodyCollector::new(body_limit_bytes);
     while let Some(frame) = body.frame().await {
@@ -297,9 +299,9 @@
     Ok(Answer { status, headers, body: collector.into_body() })
 }
 
-fn answer_headers(headers: &HeaderMap) -> Vec<Header> {
-    let passed_on = headers.iter().filter(|(name, _)| !CONNECTION_HEADERS.contains(&name.as_str()));
-    passed_on
+fn response_headers(headers: &HeaderMap) -> Vec<Header> {
+    let forwarded = headers.iter().filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()));
+    forwarded
         .map(|(name, value)| Header {
             name: Arc::from(name.as_str()),
             value: Bytes::copy_from_slice(value.as_bytes()),
--- a/crates/yuccatack_agent/src/lib.rs
+++ b/crates/yuccatack_agent/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent process beside each minion.
+//! The agent process that runs next to each minion and sends it requests.
 //!
-//! The agent announces its minion, owns its slots and connections, runs attempts against it,
-//! remembers what became of them, and drains. One task owns the table of attempts and the idle
-//! connections; each exchange with the minion is a task of its own.
+//! The agent reports its minion's status to the control replicas, owns the minion's slots and
+//! connections, runs attempts against it, keeps their outcomes, and drains on shutdown. One task
+//! owns the table of attempts and the idle connections; each HTTP exchange with the minion runs in
+//! its own task.
 
 mod actor;
 mod connection;
--- a/crates/yuccatack_agent/src/message.rs
+++ b/crates/yuccatack_agent/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the task that owns the attempts.
+//! Messages to the agent's actor.
 
 use std::time::Duration;
 
@@ -9,55 +9,55 @@
 
 use crate::connection::MinionConnection;
 
-/// Messages to the agent's actor.
+/// A call of an entry, the end of a task of the agent, or a step of the shutdown.
 #[derive(Debug)]
 pub enum AgentMessage {
-    /// A whole attempt arrived.
+    /// Starts an attempt that was received completely.
     Start {
-        /// Its addressing.
+        /// Attempt id, target incarnation and remaining deadline.
         head: AttemptHead,
-        /// The request.
+        /// Request to send to the minion.
         content: RequestContent,
-        /// Told once the attempt has ended or is refused.
+        /// Receives the resolution once the attempt has ended or was refused.
         reply: oneshot::Sender<Resolution>,
     },
-    /// An entry asks what became of an attempt.
+    /// Requests the resolution of an attempt.
     Resolve {
-        /// The attempt.
+        /// Attempt to look up.
         attempt: AttemptId,
-        /// The incarnation that it was addressed to.
+        /// Incarnation of the agent that the attempt was addressed to.
         incarnation: Incarnation,
-        /// Who asks.
+        /// Organisation on whose behalf the entry calls.
         organisation: OrganisationName,
-        /// How long the reply may be held back while the attempt runs.
+        /// Time for which the entry waits while the attempt runs; zero requests an immediate reply.
         wait: Duration,
-        /// Told at once, or when the attempt ends.
+        /// Receives the resolution immediately, or when the attempt ends.
         reply: oneshot::Sender<Resolution>,
     },
-    /// An exchange with the minion has ended.
+    /// Reports the end of an exchange with the minion.
     ExchangeEnded {
-        /// The attempt.
+        /// Attempt that the exchange belonged to.
         attempt: AttemptId,
-        /// What became of it.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the exchange, including the time to connect.
         duration: Duration,
-        /// The connection, if another exchange may use it.
+        /// Connection, if another exchange can use it.
         connection: Option<MinionConnection>,
     },
-    /// A health probe has ended.
+    /// Reports the result of a health probe.
     Probed {
-        /// Whether the minion accepted a connection.
+        /// `true` if the minion accepted a connection.
         reachable: bool,
     },
-    /// Tell which attempts run.
+    /// Requests the attempts that are running.
     ListRunning {
-        /// Where the list goes.
+        /// Receives the ids of the running attempts.
         reply: oneshot::Sender<Vec<AttemptId>>,
     },
-    /// Take no new attempts from now on.
-    Leave {
-        /// Told once no further attempt can start.
-        left: oneshot::Sender<()>,
+    /// Stops the start of new attempts.
+    StartDraining {
+        /// Notified once no further attempt can start.
+        started: oneshot::Sender<()>,
     },
 }
--- a/crates/yuccatack_agent/src/observe.rs
+++ b/crates/yuccatack_agent/src/observe.rs
@@ -1,4 +1,4 @@
-//! Keeps an agent's metrics and readiness in line with its view and its minion.
+//! Updates the agent's metrics and readiness from its view and the status of its minion.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 
 const OBSERVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Observes the view and the reports until the process ends.
+/// Updates metrics and readiness every second until the task is aborted.
 pub async fn observe_agent(
     view: ViewHandle,
     reports: watch::Receiver<Option<MinionStatus>>,
--- a/crates/yuccatack_agent/src/process.rs
+++ b/crates/yuccatack_agent/src/process.rs
@@ -1,4 +1,4 @@
-//! The agent process: start, drain and end.
+//! Startup, drain and shutdown of the agent process.
 
 use snafu::ResultExt;
 use tokio::net::TcpListener;
@@ -20,22 +20,22 @@
 use crate::observe::observe_agent;
 use crate::service::AttemptService;
 
-/// What an agent is connected to.
+/// Connections and handles that an agent runs on.
 #[derive(Debug)]
 pub struct AgentInputs {
-    /// Where entries connect.
+    /// Socket on which entries connect.
     pub listener: TcpListener,
-    /// The agent's incarnation, the same as on its view stream.
+    /// Incarnation of the agent; must equal the one on its view stream.
     pub incarnation: Incarnation,
-    /// The node's view.
+    /// View of the records.
     pub view: ViewHandle,
-    /// Where reports go.
+    /// Channel that publishes the minion's status.
     pub reports: watch::Sender<Option<MinionStatus>>,
-    /// Metrics and readiness.
+    /// Metrics and readiness of the process.
     pub telemetry: Telemetry,
 }
 
-/// Runs an agent until it has drained.
+/// Connects an agent and runs it until it has drained.
 pub async fn run(settings: AgentSettings, shutdown: Shutdown) -> Result<(), AgentError> {
     let address = settings.listen_address;
     let listener = TcpListener::bind(address).await.context(ListenSnafu { address })?;
@@ -63,7 +63,7 @@
     result
 }
 
-/// Runs an agent on inputs that are already connected.
+/// Runs an agent on `inputs` until it has drained.
 pub async fn serve(
     settings: AgentSettings,
     inputs: AgentInputs,
@@ -95,43 +95,50 @@
     let actor_task = tokio::spawn(actor.run());
     let service = AttemptsServer::new(AttemptService::new(sender.clone(), body_limit_bytes));
     let incoming = TcpIncoming::from(inputs.listener).with_nodelay(Some(true));
-    let drained = drain(shutdown.clone(), sender.clone(), in_flight_receiver);
-    let server =
-        Server::builder().add_service(service).serve_with_incoming_shutdown(incoming, drained);
-    log::info!(event = "agent_started", address:% = bound_address; "the agent accepts attempts");
+    let drain_complete = drain(shutdown.clone(), sender.clone(), in_flight_receiver);
+    let server = Server::builder()
+        .add_service(service)
+        .serve_with_incoming_shutdown(incoming, drain_complete);
+    log::info!(
+        event = "agent_started", address:% = bound_address;
+        "the agent accepts attempts on {bound_address}"
+    );
     let result = tokio::select! {
         result = server => result.context(ServeSnafu),
         () = shutdown.wait_for(ShutdownPhase::Aborting) => {
-            Err(AgentError::Aborted { attempt_count: report_left(&sender).await })
+            Err(AgentError::Aborted { attempt_count: log_unfinished_attempts(&sender).await })
         }
     };
     actor_task.abort();
     result
 }
 
-/// Logs the attempts that the process leaves running, and counts them.
-async fn report_left(actor: &mpsc::Sender<AgentMessage>) -> usize {
+/// Logs the attempts that are still running, and returns their number.
+async fn log_unfinished_attempts(actor: &mpsc::Sender<AgentMessage>) -> usize {
     let (reply, running) = oneshot::channel();
-    // An error means that the actor has already ended, with nothing running.
+    // An error means that the actor has already ended with no attempt running.
     let _ = actor.send(AgentMessage::ListRunning { reply }).await;
     let running = running.await.unwrap_or_default();
     for attempt in &running {
-        log::warn!(event = "attempt_left", attempt:%; "the attempt was left running");
+        log::warn!(
+            event = "attempt_left", attempt:%;
+            "attempt {attempt} was still running when the agent was aborted; its outcome is unknown"
+        );
     }
     running.len()
 }
 
-/// Waits for the shutdown, makes the agent leave, and returns once nothing is in flight. Until
-/// then entries can still connect and resolve.
+/// Waits for the shutdown, stops new attempts, and returns once none is in flight. Until then
+/// entries can still connect and resolve attempts.
 async fn drain(
     mut shutdown: Shutdown,
     actor: mpsc::Sender<AgentMessage>,
     mut in_flight: watch::Receiver<usize>,
 ) {
     shutdown.wait_for(ShutdownPhase::Draining).await;
-    let (left, leaving) = oneshot::channel();
-    // Errors mean that the actor has already ended.
-    let _ = actor.send(AgentMessage::Leave { left }).await;
-    let _ = leaving.await;
+    let (started, draining_started) = oneshot::channel();
+    // An error means that the actor has already ended.
+    let _ = actor.send(AgentMessage::StartDraining { started }).await;
+    let _ = draining_started.await;
     let _ = in_flight.wait_for(|count| *count == 0).await;
 }
--- a/crates/yuccatack_agent/src/report.rs
+++ b/crates/yuccatack_agent/src/report.rs
@@ -1,31 +1,31 @@
-//! What the agent reports about its minion.
+//! Status of the minion, which the agent reports to the control replicas.
 
 use std::time::Duration;
 
 use yuccatack_requests::outcome::{NotRunReason, Outcome, UnknownReason};
 use yuccatack_view::{MinionState, MinionStatus};
 
-/// The weight of a new answer time in the moving average, as one part in this many.
+/// Inverse of the weight of a new response time in the moving average.
 const LATENCY_SMOOTHING: u64 = 8;
 
-/// Keeps the status of the minion up to date.
+/// Current status of the minion, with the state derived from draining and reachability.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     status: MinionStatus,
-    leaving: bool,
+    draining: bool,
     reachable: bool,
 }
 
 impl LoadReport {
-    /// Starts with a status whose minion has not been reached yet.
+    /// Creates a report with the state `Unhealthy`, as the minion has not been reached yet.
     pub fn new(mut status: MinionStatus) -> Self {
         status.state = MinionState::Unhealthy;
-        Self { status, leaving: false, reachable: false }
+        Self { status, draining: false, reachable: false }
     }
 
-    /// The status to report.
+    /// Returns the status to report.
     pub fn status(&self) -> MinionStatus {
-        let state = match (self.leaving, self.reachable) {
+        let state = match (self.draining, self.reachable) {
             (true, _) => MinionState::Leaving,
             (false, true) => MinionState::Ready,
             (false, false) => MinionState::Unhealthy,
@@ -33,22 +33,22 @@
         MinionStatus { state, ..self.status.clone() }
     }
 
-    /// The minion takes nothing new any more.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    /// Reports from now on that the minion takes no new attempts.
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
-    /// Whether the minion accepted a connection when last tried.
+    /// Sets whether the minion accepted a connection when last tried.
     pub fn set_reachable(&mut self, reachable: bool) {
         self.reachable = reachable;
     }
 
-    /// The slots that are in use now.
+    /// Sets the number of slots in use.
     pub fn set_slots_in_use(&mut self, slots_in_use: u32) {
         self.status.slots_in_use = slots_in_use;
     }
 
-    /// Learns from an exchange that ended.
+    /// Updates reachability and latency from the result of an exchange.
     pub fn exchange_ended(&mut self, outcome: &Outcome, duration: Duration) {
         match outcome {
             Outcome::Completed(_) => {
--- a/crates/yuccatack_agent/src/service.rs
+++ b/crates/yuccatack_agent/src/service.rs
@@ -1,4 +1,4 @@
-//! The tonic service for entries.
+//! The gRPC service that entries call.
 
 use std::time::Duration;
 
@@ -15,23 +15,23 @@
 
 use crate::message::AgentMessage;
 
-/// The longest that an answer to `Resolve` is held back, whatever the entry asks.
-const RESOLVE_WAIT_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time for which a response to `Resolve` is delayed, whatever wait the entry requests.
+const MAX_RESOLVE_WAIT: Duration = Duration::from_secs(30);
 
-/// Decodes calls, passes them to the actor and encodes its replies.
+/// Decodes calls, forwards them to the actor and encodes its replies.
 #[derive(Clone, Debug)]
 pub struct AttemptService {
     actor: mpsc::Sender<AgentMessage>,
     body_limit_bytes: u64,
 }
 
-type Parts = Iter<std::vec::IntoIter<Result<wire::AnswerPart, Status>>>;
+type PartStream = Iter<std::vec::IntoIter<Result<wire::AnswerPart, Status>>>;
 
-fn parts_of(
+fn response_parts(
     attempt: AttemptId,
     organisation: &OrganisationName,
     resolution: &Resolution,
-) -> Response<Parts> {
+) -> Response<PartStream> {
     let parts = resolution_parts(attempt, organisation, resolution);
     let parts: Vec<_> = parts.into_iter().map(Ok).collect();
     Response::new(tokio_stream::iter(parts))
@@ -42,13 +42,13 @@
 }
 
 impl AttemptService {
-    /// Connects a service to the actor.
+    /// Creates a service that forwards calls to `actor`.
     pub fn new(actor: mpsc::Sender<AgentMessage>, body_limit_bytes: u64) -> Self {
         Self { actor, body_limit_bytes }
     }
 
-    /// Reads a whole attempt. An attempt that does not arrive whole is never started.
-    async fn receive(
+    /// Reads a complete attempt; an incomplete or corrupt one is refused and never started.
+    async fn receive_attempt(
         &self,
         mut parts: Streaming<wire::AttemptPart>,
     ) -> Result<(AttemptHead, RequestContent), Status> {
@@ -64,8 +64,8 @@
                     body.push(&chunk).map_err(invalid)?;
                 }
                 Some(wire::attempt_part::Part::End(end)) => {
-                    let seal = BodyTrailer::try_from(end).map_err(invalid)?;
-                    content.body = body.finish(&seal).map_err(invalid)?;
+                    let trailer = BodyTrailer::try_from(end).map_err(invalid)?;
+                    content.body = body.finish(&trailer).map_err(invalid)?;
                     return Ok((head, content));
                 }
                 Some(wire::attempt_part::Part::Head(_)) => {
@@ -84,31 +84,31 @@
 
 #[tonic::async_trait]
 impl Attempts for AttemptService {
-    type ExecuteStream = Parts;
-    type ResolveStream = Parts;
+    type ExecuteStream = PartStream;
+    type ResolveStream = PartStream;
 
     async fn execute(
         &self,
         request: Request<Streaming<wire::AttemptPart>>,
-    ) -> Result<Response<Parts>, Status> {
-        let (head, content) = self.receive(request.into_inner()).await?;
+    ) -> Result<Response<PartStream>, Status> {
+        let (head, content) = self.receive_attempt(request.into_inner()).await?;
         let attempt = head.attempt;
         let organisation = content.organisation.clone();
         let (reply, resolution) = oneshot::channel();
         self.send(AgentMessage::Start { head, content, reply }).await?;
         let resolution =
             resolution.await.map_err(|_| Status::unavailable("the attempt was dropped"))?;
-        Ok(parts_of(attempt, &organisation, &resolution))
+        Ok(response_parts(attempt, &organisation, &resolution))
     }
 
     async fn resolve(
         &self,
         request: Request<wire::ResolveRequest>,
-    ) -> Result<Response<Parts>, Status> {
+    ) -> Result<Response<PartStream>, Status> {
         let request = request.into_inner();
         let attempt = AttemptId::try_from(request.attempt_id.as_ref()).map_err(invalid)?;
         let organisation = OrganisationName::new(&request.organisation).map_err(invalid)?;
-        let wait = Duration::from_millis(request.wait_ms).min(RESOLVE_WAIT_LIMIT);
+        let wait = Duration::from_millis(request.wait_ms).min(MAX_RESOLVE_WAIT);
         let (reply, resolution) = oneshot::channel();
         let message = AgentMessage::Resolve {
             attempt,
@@ -123,6 +123,6 @@
             Ok(Err(_)) => return Err(Status::unavailable("the agent ends")),
             Err(_) => Resolution::Running,
         };
-        Ok(parts_of(attempt, &organisation, &resolution))
+        Ok(response_parts(attempt, &organisation, &resolution))
     }
 }
