--- a/crates/yuccatack_control_client/src/actor.rs
+++ b/crates/yuccatack_control_client/src/actor.rs
@@ -1,4 +1,4 @@
-//! The task that owns the channels to the replicas and knows the leader.
+//! Actor that owns the channels to the replicas and tracks the leader.
 
 use std::net::SocketAddr;
 
@@ -6,27 +6,27 @@
 use tonic::transport::Channel;
 use yuccatack_core::prelude::*;
 
-/// Messages that may wait for the task.
-const MAILBOX_LENGTH: usize = 256;
+/// Number of messages that may wait for the actor.
+const MAILBOX_CAPACITY_COUNT: usize = 256;
 
-/// Where to send a call.
+/// Replica to send a call to.
 #[derive(Debug)]
 pub struct Target {
-    /// The replica.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// An open channel, if there is one.
+    /// Open channel, or `None` if the caller must connect first.
     pub channel: Option<Channel>,
 }
 
 enum DirectoryMessage {
     Choose { avoid: Option<SocketAddr>, reply: oneshot::Sender<Target> },
-    Opened { address: SocketAddr, channel: Channel },
+    Connected { address: SocketAddr, channel: Channel },
     Answered { address: SocketAddr },
     Failed { address: SocketAddr },
     Redirected { from: SocketAddr, leader: Option<SocketAddr> },
 }
 
-/// Talks to the task.
+/// Handle of the actor that chooses the replica for each call.
 #[derive(Clone, Debug)]
 pub struct Directory {
     messages: mpsc::Sender<DirectoryMessage>,
@@ -39,44 +39,47 @@
 }
 
 impl Directory {
-    /// Starts the task; it ends when every clone is gone.
+    /// Starts the actor, which ends when every clone of the handle is dropped.
     pub fn spawn(addresses: Vec<SocketAddr>) -> Self {
-        let (messages, mailbox) = mpsc::channel(MAILBOX_LENGTH);
+        let (messages, mailbox) = mpsc::channel(MAILBOX_CAPACITY_COUNT);
         let task =
             DirectoryTask { addresses, next: 0, leader: None, channels: FastHashMap::default() };
         tokio::spawn(task.run(mailbox));
         Self { messages }
     }
 
-    /// The replica to try next: the leader if known, otherwise one after the other.
+    /// Returns the replica to try next: the leader if known, otherwise the replicas in turn.
+    /// `avoid` is returned only if it is the only replica. `None` means that no replica is
+    /// configured.
     pub async fn choose(&self, avoid: Option<SocketAddr>) -> Option<Target> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, target) = oneshot::channel();
         self.send(DirectoryMessage::Choose { avoid, reply }).await;
-        answer.await.ok()
+        target.await.ok()
     }
 
-    /// Keeps a channel that was opened.
-    pub async fn opened(&self, address: SocketAddr, channel: Channel) {
-        self.send(DirectoryMessage::Opened { address, channel }).await;
+    /// Stores an open channel for later calls.
+    pub async fn report_connected(&self, address: SocketAddr, channel: Channel) {
+        self.send(DirectoryMessage::Connected { address, channel }).await;
     }
 
-    /// A replica answered as the leader.
-    pub async fn answered(&self, address: SocketAddr) {
+    /// Reports that a replica responded as the leader.
+    pub async fn report_answered(&self, address: SocketAddr) {
         self.send(DirectoryMessage::Answered { address }).await;
     }
 
-    /// A replica did not answer; its channel is given up, as it may never respond again.
-    pub async fn failed(&self, address: SocketAddr) {
+    /// Reports that a replica gave no usable response. Its channel is dropped, as the connection
+    /// may hang for good.
+    pub async fn report_failed(&self, address: SocketAddr) {
         self.send(DirectoryMessage::Failed { address }).await;
     }
 
-    /// A replica does not lead and may have named the leader.
-    pub async fn redirected(&self, from: SocketAddr, leader: Option<SocketAddr>) {
+    /// Reports that a replica does not lead, with the leader if the replica named one.
+    pub async fn report_redirected(&self, from: SocketAddr, leader: Option<SocketAddr>) {
         self.send(DirectoryMessage::Redirected { from, leader }).await;
     }
 
     async fn send(&self, message: DirectoryMessage) {
-        // The task outlives every handle.
+        // The actor outlives every handle.
         let _ = self.messages.send(message).await;
     }
 }
@@ -94,21 +97,21 @@
             match message {
                 DirectoryMessage::Choose { avoid, reply } => {
                     if let Some(target) = self.choose(avoid) {
-                        // A caller that gave up needs no target.
+                        // An error means that the caller gave up.
                         let _ = reply.send(target);
                     }
                 }
-                DirectoryMessage::Opened { address, channel } => {
+                DirectoryMessage::Connected { address, channel } => {
                     self.channels.insert(address, channel);
                 }
                 DirectoryMessage::Answered { address } => self.leader = Some(address),
                 DirectoryMessage::Failed { address } => {
                     self.channels.remove(&address);
-                    self.forget_leader(address);
+                    self.clear_leader(address);
                 }
                 DirectoryMessage::Redirected { from, leader } => {
-                    self.forget_leader(from);
-                    // A replica that names itself or an unknown one gives no usable hint.
+                    self.clear_leader(from);
+                    // A replica that names itself or no leader gives no usable hint.
                     if let Some(leader) = leader.filter(|leader| *leader != from) {
                         self.leader = Some(leader);
                     }
@@ -117,7 +120,7 @@
         }
     }
 
-    fn forget_leader(&mut self, address: SocketAddr) {
+    fn clear_leader(&mut self, address: SocketAddr) {
         if self.leader == Some(address) {
             self.leader = None;
         }
--- a/crates/yuccatack_control_client/src/client.rs
+++ b/crates/yuccatack_control_client/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the control leader.
+//! Client with retries and leader discovery.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,48 +16,48 @@
 use crate::actor::Directory;
 use crate::error::ControlError;
 
-/// The metadata key that holds the leader's address.
+/// Metadata key under which a follower sends the leader's address.
 const LEADER_METADATA_KEY: &str = "yuccatack-leader";
-/// How long opening a connection may take.
+/// Maximum time to connect to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long one replica may take to answer before another one is tried; an election takes at most
-/// half a second, so a leader that is silent for longer has probably been replaced.
+/// Maximum time to wait for one replica before another one is tried. An election takes at most half
+/// a second, so a leader that does not respond for longer has probably been replaced.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The longest accepted list of records.
-const MAX_LIST_LENGTH_BYTES: usize = 64 << 20;
-/// The pause after each attempt that led nowhere, so that an election has time to finish.
+/// Maximum encoded size of a list of records.
+const MAX_LIST_BYTES: usize = 64 << 20;
+/// Pause after each unsuccessful attempt, so that an election has time to finish.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What a client needs to know.
+/// Settings of a [`ControlClient`].
 #[derive(Clone, Debug)]
 pub struct ControlClientConfig {
-    /// Every control replica.
+    /// Addresses of all control replicas.
     pub control_addresses: Vec<SocketAddr>,
-    /// How long a call may take with all of its attempts.
+    /// Maximum duration of a call with all of its attempts.
     pub call_deadline: Duration,
 }
 
-/// Calls the control leader; a clone shares the connections.
+/// Calls the control leader; clones share the connections.
 #[derive(Clone, Debug)]
 pub struct ControlClient {
     directory: Directory,
     call_deadline: Duration,
 }
 
-/// An answer of the leader.
-struct Answer<Message> {
+/// Response of the leader.
+struct LeaderResponse<Message> {
     message: Message,
-    /// Whether an earlier attempt of the same call may have had an effect.
-    sent_before: bool,
+    /// `true` if an earlier attempt of the same call may have had an effect.
+    may_have_executed: bool,
 }
 
-/// Why one replica gave no answer.
+/// Reason why a replica gave no response as the leader.
 enum AttemptError {
-    /// The call did not reach the replica.
-    NotTaken { reason: String },
+    /// The replica could not be connected to, so the call did not reach it.
+    Unreachable { reason: String },
     /// The replica does not lead, so the call had no effect.
     NotLeader { leader: Option<SocketAddr> },
-    /// The call may have had an effect.
+    /// The response was lost, so the call may have had an effect.
     Lost { reason: String },
     /// The leader refused the call.
     Refused { code: Code, message: String },
@@ -82,7 +82,7 @@
             | Code::Unauthenticated => {
                 Self::Refused { code: status.code(), message: status.message().to_owned() }
             }
-            // A connection that broke, or leadership that was lost while the change was logged.
+            // The connection broke, or the replica lost leadership while the change was logged.
             Code::Ok
             | Code::Cancelled
             | Code::Unknown
@@ -96,25 +96,26 @@
 }
 
 impl ControlClient {
-    /// Starts the task that owns the connections.
+    /// Starts the actor that owns the connections.
     pub fn spawn(config: ControlClientConfig) -> Self {
         let directory = Directory::spawn(config.control_addresses);
         Self { directory, call_deadline: config.call_deadline }
     }
 
-    /// Sends a change; it is sent again with the same change id while its answer is lost.
+    /// Submits a change; if the response is lost, resends it with the same change id until the
+    /// deadline.
     pub async fn submit_change(&self, change: &Change) -> Result<ChangeOutcome, ControlError> {
         let request = wire::SubmitChangeRequest::from(change);
-        let answer = self
+        let leader_response = self
             .call(request, |channel, request| async move {
                 OperatorsClient::new(channel).submit_change(request).await
             })
             .await?;
-        ChangeOutcome::try_from(answer.message)
+        ChangeOutcome::try_from(leader_response.message)
             .map_err(|error| ControlError::Unreadable { detail: error.to_string() })
     }
 
-    /// Reads a record as written.
+    /// Reads a record with the document that was submitted; `None` if it does not exist.
     pub async fn read_record(
         &self,
         key: &RecordKey,
@@ -123,85 +124,86 @@
             kind: key.kind.as_str().to_owned(),
             name: key.name.to_string(),
         };
-        let answer = self
+        let leader_response = self
             .call(request, |channel, request| async move {
                 OperatorsClient::new(channel).read_record(request).await
             })
             .await
-            .map_err(ControlError::of_read)?;
-        Ok(answer.message.record)
+            .map_err(ControlError::into_read_error)?;
+        Ok(leader_response.message.record)
     }
 
-    /// Lists the records of a kind as written.
+    /// Lists the records of a kind with the documents that were submitted.
     pub async fn list_records(
         &self,
         kind: RecordKind,
     ) -> Result<Vec<wire::StoredRecord>, ControlError> {
         let request = wire::ListRecordsRequest { kind: kind.as_str().to_owned() };
-        let answer = self
+        let leader_response = self
             .call(request, |channel, request| async move {
                 let client = OperatorsClient::new(channel);
-                client.max_decoding_message_size(MAX_LIST_LENGTH_BYTES).list_records(request).await
+                client.max_decoding_message_size(MAX_LIST_BYTES).list_records(request).await
             })
             .await
-            .map_err(ControlError::of_read)?;
-        Ok(answer.message.records)
+            .map_err(ControlError::into_read_error)?;
+        Ok(leader_response.message.records)
     }
 
-    /// Reads what became of a change and whether it is in force everywhere.
+    /// Reads the outcome of a change and whether it is in force everywhere.
     pub async fn read_change(
         &self,
         change_id: &ChangeId,
     ) -> Result<wire::ReadChangeResponse, ControlError> {
         let request = wire::ReadChangeRequest { change_id: change_id.to_string() };
-        let answer = self
+        let leader_response = self
             .call(request, |channel, request| async move {
                 OperatorsClient::new(channel).read_change(request).await
             })
             .await
-            .map_err(ControlError::of_read)?;
-        Ok(answer.message)
+            .map_err(ControlError::into_read_error)?;
+        Ok(leader_response.message)
     }
 
-    /// Reads the status document.
+    /// Reads the status of replicas, nodes, workers, minions and guarantees as a JSON document.
     pub async fn read_status(&self) -> Result<wire::DocumentResponse, ControlError> {
-        let answer = self
+        let leader_response = self
             .call(wire::ReadStatusRequest {}, |channel, request| async move {
                 OperatorsClient::new(channel).read_status(request).await
             })
             .await
-            .map_err(ControlError::of_read)?;
-        Ok(answer.message)
+            .map_err(ControlError::into_read_error)?;
+        Ok(leader_response.message)
     }
 
-    /// Reads the document that explains a job's state.
+    /// Reads the JSON document that explains the state of a job.
     pub async fn explain_job(&self, job: &JobName) -> Result<wire::DocumentResponse, ControlError> {
         let request = wire::ExplainJobRequest { name: job.to_string() };
-        let answer = self
+        let leader_response = self
             .call(request, |channel, request| async move {
                 OperatorsClient::new(channel).explain_job(request).await
             })
             .await
-            .map_err(ControlError::of_read)?;
-        Ok(answer.message)
+            .map_err(ControlError::into_read_error)?;
+        Ok(leader_response.message)
     }
 
-    /// Claims a key for an attempt.
+    /// Claims an idempotency key for an attempt.
     ///
-    /// After a lost answer the claim is sent again; it then finds itself, which is a grant.
+    /// If the response is lost, the claim is sent again. The leader then reports the existing claim
+    /// of the same attempt, which is returned as a grant.
     pub async fn claim(
         &self,
         request: claims::ClaimRequest,
     ) -> Result<claims::ClaimResponse, ControlError> {
         let attempt_id = request.attempt.as_ref().map(|attempt| attempt.attempt_id.clone());
-        let answer = self
+        let leader_response = self
             .call(request, |channel, request| async move {
                 ClaimsClient::new(channel).claim(request).await
             })
             .await?;
-        let mut response = answer.message;
+        let mut response = leader_response.message;
         if let Some(claims::claim_response::Outcome::Existing(existing)) = &response.outcome
-            && answer.sent_before
+            && leader_response.may_have_executed
             && existing.state() == claims::ClaimState::Dispatched
             && existing.attempt.as_ref().map(|attempt| &attempt.attempt_id) == attempt_id.as_ref()
         {
@@ -210,101 +212,103 @@
         Ok(response)
     }
 
-    /// Tells what became of a claimed attempt.
+    /// Reports the outcome of an attempt that holds a claim.
     pub async fn settle(
         &self,
         request: claims::SettleRequest,
     ) -> Result<claims::SettleResponse, ControlError> {
-        let answer = self
+        let leader_response = self
             .call(request, |channel, request| async move {
                 ClaimsClient::new(channel).settle(request).await
             })
             .await?;
-        Ok(answer.message)
+        Ok(leader_response.message)
     }
 
-    /// Tries replicas until one answers as the leader or the deadline has passed.
-    async fn call<Request, Message, Send, Sending>(
+    /// Tries replicas until one responds as the leader or the deadline has passed.
+    async fn call<Request, Message, Rpc, RpcFuture>(
         &self,
         request: Request,
-        send: Send,
-    ) -> Result<Answer<Message>, ControlError>
+        rpc: Rpc,
+    ) -> Result<LeaderResponse<Message>, ControlError>
     where
         Request: Clone,
-        Send: Fn(Channel, Request) -> Sending,
-        Sending: Future<Output = Result<Response<Message>, Status>>,
+        Rpc: Fn(Channel, Request) -> RpcFuture,
+        RpcFuture: Future<Output = Result<Response<Message>, Status>>,
     {
         let deadline = Instant::now() + self.call_deadline;
-        let mut sent_before = false;
+        let mut may_have_executed = false;
         let mut detail = "no control address is configured".to_owned();
         let mut avoid = None;
         while Instant::now() < deadline {
             let Some(target) = self.directory.choose(avoid.take()).await else { break };
             let address = target.address;
-            let limit = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
-            let attempt = self.attempt(address, target.channel, request.clone(), &send, limit);
+            let attempt_deadline = deadline.min(Instant::now() + ATTEMPT_TIMEOUT);
+            let attempt =
+                self.attempt(address, target.channel, request.clone(), &rpc, attempt_deadline);
             match attempt.await {
                 Ok(message) => {
-                    self.directory.answered(address).await;
-                    return Ok(Answer { message, sent_before });
+                    self.directory.report_answered(address).await;
+                    return Ok(LeaderResponse { message, may_have_executed });
                 }
                 Err(AttemptError::Refused { code, message }) => {
                     return Err(ControlError::Refused { code: code.to_string(), message });
                 }
                 Err(AttemptError::NotLeader { leader }) => {
                     detail = format!("{address}: does not lead");
-                    self.directory.redirected(address, leader).await;
+                    self.directory.report_redirected(address, leader).await;
                 }
-                Err(AttemptError::NotTaken { reason }) => {
+                Err(AttemptError::Unreachable { reason }) => {
                     detail = format!("{address}: {reason}");
-                    self.directory.failed(address).await;
+                    self.directory.report_failed(address).await;
                 }
                 Err(AttemptError::Lost { reason }) => {
-                    sent_before = true;
+                    may_have_executed = true;
                     detail = format!("{address}: {reason}");
-                    self.directory.failed(address).await;
+                    self.directory.report_failed(address).await;
                 }
             }
             avoid = Some(address);
             tokio::time::sleep_until(deadline.min(Instant::now() + RETRY_PAUSE)).await;
         }
         let deadline_ms = DurationMs::from(self.call_deadline).get();
-        Err(match sent_before {
+        Err(match may_have_executed {
             true => ControlError::AnswerLost { deadline_ms, detail },
             false => ControlError::NotSent { deadline_ms, detail },
         })
     }
 
-    async fn attempt<Request, Message, Send, Sending>(
+    async fn attempt<Request, Message, Rpc, RpcFuture>(
         &self,
         address: SocketAddr,
         channel: Option<Channel>,
         request: Request,
-        send: &Send,
-        limit: Instant,
+        rpc: &Rpc,
+        attempt_deadline: Instant,
     ) -> Result<Message, AttemptError>
     where
-        Send: Fn(Channel, Request) -> Sending,
-        Sending: Future<Output = Result<Response<Message>, Status>>,
+        Rpc: Fn(Channel, Request) -> RpcFuture,
+        RpcFuture: Future<Output = Result<Response<Message>, Status>>,
     {
         let channel = match channel {
             Some(channel) => channel,
-            None => self.open(address).await?,
+            None => self.connect(address).await?,
         };
-        match tokio::time::timeout_at(limit, send(channel, request)).await {
+        match tokio::time::timeout_at(attempt_deadline, rpc(channel, request)).await {
             Ok(Ok(response)) => Ok(response.into_inner()),
             Ok(Err(status)) => Err(AttemptError::from(status)),
             Err(_) => Err(AttemptError::Lost { reason: "no answer in time".to_owned() }),
         }
     }
 
-    async fn open(&self, address: SocketAddr) -> Result<Channel, AttemptError> {
-        let not_taken =
-            |error: tonic::transport::Error| AttemptError::NotTaken { reason: error.to_string() };
-        let endpoint = Endpoint::from_shared(format!("http://{address}")).map_err(not_taken)?;
+    async fn connect(&self, address: SocketAddr) -> Result<Channel, AttemptError> {
+        let unreachable = |error: tonic::transport::Error| AttemptError::Unreachable {
+            reason: error.to_string(),
+        };
+        let endpoint = Endpoint::from_shared(format!("http://{address}")).map_err(unreachable)?;
         let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
-        let channel = endpoint.connect().await.map_err(not_taken)?;
-        self.directory.opened(address, channel.clone()).await;
+        let channel = endpoint.connect().await.map_err(unreachable)?;
+        self.directory.report_connected(address, channel.clone()).await;
         Ok(channel)
     }
 }
--- a/crates/yuccatack_control_client/src/error.rs
+++ b/crates/yuccatack_control_client/src/error.rs
@@ -1,55 +1,56 @@
-//! Why a call gave no answer, and what that says about its effect.
+//! Errors of calls to the control leader, by the effect that the call may have had.
 
 use snafu::Snafu;
 
-/// A failed call.
+/// Error of a call to the control leader.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
-    /// No replica took the call.
+    /// No replica accepted the call, so it had no effect.
     #[snafu(display(
         "no control replica took the call within {deadline_ms} ms, so it had no effect ({detail}); \
          check the control addresses and that a quorum runs, then send it again"
     ))]
     NotSent {
-        /// The deadline of the call.
+        /// Maximum duration of the call.
         deadline_ms: u64,
-        /// What the last attempt met.
+        /// Failure of the last attempt, with the address of the replica.
         detail: String,
     },
-    /// A replica may have taken the call, but no answer came.
+    /// A replica may have executed the call, but its response was lost.
     #[snafu(display(
-        "the answer was lost within {deadline_ms} ms, so the call may have had an effect ({detail}); \
-         send it again with the same change id to get its first answer"
+        "the answer was lost within {deadline_ms} ms, so the call may have had an effect \
+         ({detail}); send it again with the same change id to get its first answer"
     ))]
     AnswerLost {
-        /// The deadline of the call.
+        /// Maximum duration of the call.
         deadline_ms: u64,
-        /// What the last attempt met.
+        /// Failure of the last attempt, with the address of the replica.
         detail: String,
     },
-    /// The leader refused the call.
+    /// The leader refused the call, for example because its content is invalid.
     #[snafu(display("the control leader refused the call ({code}): {message}"))]
     Refused {
-        /// The status code.
+        /// Description of the gRPC status code.
         code: String,
-        /// The leader's words.
+        /// Message of the leader.
         message: String,
     },
-    /// The answer makes no sense to this version.
+    /// The response cannot be decoded by this version.
     #[snafu(display(
         "the answer of the control leader cannot be read ({detail}); run the same version on both \
          sides"
     ))]
     Unreadable {
-        /// What is wrong.
+        /// Error of the decoder.
         detail: String,
     },
 }
 
 impl ControlError {
-    /// The same failure of a call that only reads: a lost answer had no effect either.
-    pub(crate) fn of_read(self) -> Self {
+    /// Converts the error of a call that only reads, which has no effect even if its response is
+    /// lost.
+    pub(crate) fn into_read_error(self) -> Self {
         match self {
             Self::AnswerLost { deadline_ms, detail } => Self::NotSent { deadline_ms, detail },
             other => other,
--- a/crates/yuccatack_control_client/src/lib.rs
+++ b/crates/yuccatack_control_client/src/lib.rs
@@ -1,7 +1,7 @@
-//! A client of the control leader for entries and the command line.
+//! Client that finds the control leader and calls it, used by entries.
 //!
-//! [`ControlClient`] finds the leader, follows its hints, and tells for each failed call whether
-//! the call may have had an effect.
+//! [`ControlClient`] finds the leader, follows the leader hints of followers, and reports for each
+//! failed call whether it may have had an effect.
 
 mod actor;
 mod client;
--- a/crates/yuccatack_control_client/tests/leader_hints.rs
+++ b/crates/yuccatack_control_client/tests/leader_hints.rs
@@ -1,4 +1,4 @@
-//! Finding the leader, and telling what a failed call means.
+//! Guards against calls that miss the leader, and errors that misstate the effect of a call.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::net::SocketAddr;
@@ -13,15 +13,15 @@
 use yuccatack_records::generated::records::operators_server::{Operators, OperatorsServer};
 use yuccatack_records::{Change, ChangeOutcome, Operation, RecordKey, RecordKind};
 
-/// How a replica behaves.
+/// Behaviour of a replica.
 #[derive(Clone, Copy)]
 enum Behaviour {
-    Leads,
-    PointsTo(Option<SocketAddr>),
-    /// Takes the call and never answers.
+    Leader,
+    Follower(Option<SocketAddr>),
+    /// Accepts calls and never responds.
     Hangs,
-    /// Takes the call, and its first answer is lost.
-    LosesFirstAnswer,
+    /// Executes calls, and the first response is lost.
+    LosesFirstResponse,
     Refuses,
 }
 
@@ -32,11 +32,11 @@
 }
 
 impl Replica {
-    async fn behave(&self) -> Result<(), Status> {
+    async fn respond(&self) -> Result<(), Status> {
         let call = self.calls.fetch_add(1, Ordering::Relaxed);
         match self.behaviour {
-            Behaviour::Leads => Ok(()),
-            Behaviour::PointsTo(leader) => {
+            Behaviour::Leader => Ok(()),
+            Behaviour::Follower(leader) => {
                 let mut status = Status::failed_precondition("does not lead");
                 if let Some(leader) = leader {
                     let value = leader.to_string().parse().unwrap();
@@ -45,8 +45,8 @@
                 Err(status)
             }
             Behaviour::Hangs => std::future::pending().await,
-            Behaviour::LosesFirstAnswer if call == 0 => Err(Status::unavailable("lost")),
-            Behaviour::LosesFirstAnswer => Ok(()),
+            Behaviour::LosesFirstResponse if call == 0 => Err(Status::unavailable("lost")),
+            Behaviour::LosesFirstResponse => Ok(()),
             Behaviour::Refuses => Err(Status::resource_exhausted("too many calls")),
         }
     }
@@ -58,7 +58,7 @@
         &self,
         _request: Request<wire::SubmitChangeRequest>,
     ) -> Result<Response<wire::SubmitChangeResponse>, Status> {
-        self.behave().await?;
+        self.respond().await?;
         let outcome =
             ChangeOutcome::Accepted { generation: Generation::new(1), revision: Revision::new(7) };
         Ok(Response::new((&outcome).into()))
@@ -68,7 +68,7 @@
         &self,
         _request: Request<wire::ReadRecordRequest>,
     ) -> Result<Response<wire::ReadRecordResponse>, Status> {
-        self.behave().await?;
+        self.respond().await?;
         Ok(Response::new(wire::ReadRecordResponse { record: None }))
     }
 
@@ -112,8 +112,8 @@
     (address, calls)
 }
 
-/// An address at which nothing listens.
-async fn dead_address() -> SocketAddr {
+/// Returns an address on which nothing listens.
+async fn closed_address() -> SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
 }
@@ -132,11 +132,11 @@
     }
 }
 
-/// Guards against a client that ignores the hint, or asks the follower again on each call.
+/// Guards against a client that ignores the leader hint, or calls the follower first each time.
 #[tokio::test]
-async fn hint_is_followed() {
-    let (leader, leader_calls) = serve(Behaviour::Leads).await;
-    let (follower, follower_calls) = serve(Behaviour::PointsTo(Some(leader))).await;
+async fn leader_hint_followed() {
+    let (leader, leader_calls) = serve(Behaviour::Leader).await;
+    let (follower, follower_calls) = serve(Behaviour::Follower(Some(leader))).await;
     let client = client(vec![follower]);
     for _ in 0..3 {
         let outcome = client.submit_change(&change()).await.unwrap();
@@ -146,19 +146,20 @@
     assert_eq!(follower_calls.load(Ordering::Relaxed), 1);
 }
 
-/// Guards against a client that stops at a dead, hung or leaderless replica.
+/// Guards against a client that gives up at a replica that is down, hangs or names a leader that is
+/// down.
 #[tokio::test]
-async fn other_replicas_are_tried() {
-    let dead = dead_address().await;
+async fn other_replicas_tried() {
+    let closed_address = closed_address().await;
     let (hung, _) = serve(Behaviour::Hangs).await;
-    let (follower, _) = serve(Behaviour::PointsTo(Some(dead))).await;
-    let (leader, _) = serve(Behaviour::Leads).await;
-    let client = client(vec![dead, hung, follower, leader]);
+    let (follower, _) = serve(Behaviour::Follower(Some(closed_address))).await;
+    let (leader, _) = serve(Behaviour::Leader).await;
+    let client = client(vec![closed_address, hung, follower, leader]);
     let key = RecordKey { kind: RecordKind::Job, name: RecordName::new("j").unwrap() };
     assert_eq!(client.read_record(&key).await, Ok(None));
 }
 
-/// Forwards connections; each one stops responding for good after `lifetime`, without being closed.
+/// Starts a proxy whose connections hang after `lifetime` without being closed.
 async fn unreliable_proxy(target: SocketAddr, lifetime: Duration) -> SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -177,10 +178,10 @@
     address
 }
 
-/// Guards against a client that keeps a connection that never responds again.
+/// Guards against a client that keeps using a connection that hangs.
 #[tokio::test]
-async fn hung_connection_is_replaced() {
-    let (leader, _) = serve(Behaviour::Leads).await;
+async fn hung_connection_replaced() {
+    let (leader, _) = serve(Behaviour::Leader).await;
     let client = client(vec![unreliable_proxy(leader, Duration::from_millis(500)).await]);
     for _ in 0..4 {
         assert!(client.submit_change(&change()).await.is_ok());
@@ -188,23 +189,24 @@
     }
 }
 
-/// Guards against a lost answer that is reported although a resend brings it.
+/// Guards against an error for a change whose response was lost but which a resend returns.
 #[tokio::test]
-async fn lost_answer_is_asked_for() {
-    let (leader, calls) = serve(Behaviour::LosesFirstAnswer).await;
+async fn change_resent() {
+    let (leader, calls) = serve(Behaviour::LosesFirstResponse).await;
     assert!(client(vec![leader]).submit_change(&change()).await.is_ok());
     assert_eq!(calls.load(Ordering::Relaxed), 2);
 }
 
-/// Guards against "not sent" for a call that a replica may have taken, and the reverse.
+/// Guards against `NotSent` for a call that a replica may have executed, and against `AnswerLost`
+/// for a call without effect, which would mislead the operator about a resend.
 #[tokio::test]
-async fn failures_are_told_apart() {
-    let dead = dead_address().await;
-    let (follower, _) = serve(Behaviour::PointsTo(None)).await;
-    let error = client(vec![dead, follower]).submit_change(&change()).await.unwrap_err();
+async fn errors_distinguished() {
+    let closed_address = closed_address().await;
+    let (follower, _) = serve(Behaviour::Follower(None)).await;
+    let error = client(vec![closed_address, follower]).submit_change(&change()).await.unwrap_err();
     assert!(matches!(error, ControlError::NotSent { .. }), "{error}");
     let (hung, _) = serve(Behaviour::Hangs).await;
-    let error = client(vec![hung, dead]).submit_change(&change()).await.unwrap_err();
+    let error = client(vec![hung, closed_address]).submit_change(&change()).await.unwrap_err();
     assert!(matches!(error, ControlError::AnswerLost { .. }), "{error}");
     let (refusing, _) = serve(Behaviour::Refuses).await;
     let error = client(vec![refusing]).submit_change(&change()).await.unwrap_err();
