--- a/crates/yuccatack_control/src/actor.rs
+++ b/crates/yuccatack_control/src/actor.rs
@@ -1,4 +1,4 @@
-//! The control actor: owns the replicated state and everything that only the leader keeps.
+//! The control actor, which owns the replicated state and the leader's unreplicated state.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,13 +18,13 @@
 use yuccatack_view::{PublishedRecord, RecordUpdate, ViewPublisher};
 
 use crate::clock::Clock;
-use crate::error::ControlFailure;
+use crate::error::CallError;
 use crate::events::log_event;
 use crate::heartbeat;
-use crate::held::{affected_workers, freed_workers};
-use crate::lead::Lead;
-use crate::membership::{WantedReplicas, wanted_replicas};
-use crate::message::{ControlMessage, HeartbeatAnswer, Query, QueryAnswer, Reply};
+use crate::leader::LeaderState;
+use crate::long_poll::{affected_workers, freed_workers};
+use crate::membership::{DesiredReplicas, desired_replicas};
+use crate::message::{ControlMessage, HeartbeatResponse, Query, QueryResponse, Reply};
 use crate::observe;
 use crate::pending::{Pending, PendingProposal, PendingRead, not_leader};
 use crate::queries;
@@ -32,40 +32,40 @@
 use crate::state::{ControlCommand, ControlOutcome, ControlState};
 use crate::wire;
 
-/// How many entries lie between two comparisons of the state hash among the replicas. Hashing reads
-/// the whole state, so it must stay rare.
+/// Number of log entries between two comparisons of the state hash among the replicas. Hashing
+/// reads the whole state, so it must be rare.
 const HASH_INTERVAL_ENTRIES: u64 = 4_096;
 
-/// How often the gauges are set; setting them reads every job.
+/// Interval between updates of the gauges; each update reads every job.
 const OBSERVE_INTERVAL: DurationMs = DurationMs::from_seconds(5);
 
-/// How often the records of forgotten jobs are looked for; the search reads every job record.
+/// Interval between searches for records of evicted jobs; each search reads every job record.
 const RETENTION_INTERVAL: DurationMs = DurationMs::from_seconds(60);
 
-/// What the actor starts with.
+/// Arguments to start a [`ControlActor`].
 pub struct ControlArguments {
-    /// The replicated log.
+    /// Handle of the replicated log.
     pub replication: ReplicationHandle,
-    /// The publisher of the read view.
+    /// Publishes the records to nodes and collects their status.
     pub publisher: ViewPublisher,
-    /// Bounds of the claim table.
+    /// Age and count limits of the claim table.
     pub claim_limits: ClaimLimits,
-    /// Metrics and readiness.
+    /// Metrics and readiness of the process.
     pub telemetry: Telemetry,
-    /// Takes the voters that the membership record wants.
-    pub wanted_replicas: watch::Sender<WantedReplicas>,
+    /// Receives the desired voters when the membership record changes.
+    pub desired_replicas: watch::Sender<DesiredReplicas>,
 }
 
-/// The actor; its state is [`ControlActorState`].
+/// The control actor; its state is a [`ControlActorState`].
 pub struct ControlActor;
 
-/// Whether this replica leads.
+/// Role of this replica, with the state that only the leader has.
 enum Role {
-    Leader(Box<Lead>),
+    Leader(Box<LeaderState>),
     Follower { leader_address: Option<SocketAddr> },
 }
 
-/// The state of the control actor.
+/// State of the control actor.
 pub struct ControlActorState {
     replication: ReplicationHandle,
     publisher: ViewPublisher,
@@ -76,9 +76,9 @@
     role: Role,
     draining: bool,
     telemetry: Telemetry,
-    wanted_replicas: watch::Sender<WantedReplicas>,
+    desired_replicas: watch::Sender<DesiredReplicas>,
     observed_at: TimestampMs,
-    cleaned_at: TimestampMs,
+    retention_checked_at: TimestampMs,
 }
 
 impl Actor for ControlActor {
@@ -101,9 +101,9 @@
             role: Role::Follower { leader_address: None },
             draining: false,
             telemetry: arguments.telemetry,
-            wanted_replicas: arguments.wanted_replicas,
+            desired_replicas: arguments.desired_replicas,
             observed_at: TimestampMs::default(),
-            cleaned_at: TimestampMs::default(),
+            retention_checked_at: TimestampMs::default(),
         })
     }
 
@@ -114,7 +114,7 @@
         state: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            ControlMessage::Committed(committed) => state.committed(committed).await?,
+            ControlMessage::Committed(committed) => state.handle_committed(committed).await?,
             ControlMessage::Tick => state.tick().await?,
             ControlMessage::SubmitChange { change, reply } => state.submit_change(change, reply)?,
             ControlMessage::Read { query, reply } => state.read(query, reply),
@@ -125,7 +125,7 @@
             ControlMessage::Drain { reply } => {
                 state.draining = true;
                 state.replication.transfer_leadership().await;
-                // The process may have given up waiting; it then ends anyway.
+                // An error means that the process no longer waits for the drain.
                 let _ = reply.send(());
             }
             ControlMessage::WaitingCount { reply } => {
@@ -137,7 +137,7 @@
 }
 
 impl ControlActorState {
-    async fn committed(&mut self, committed: Committed) -> Result<(), ActorProcessingErr> {
+    async fn handle_committed(&mut self, committed: Committed) -> Result<(), ActorProcessingErr> {
         match committed {
             Committed::Entry { index, proposal, payload, .. } => {
                 self.apply(index, proposal, &payload).await?;
@@ -145,7 +145,7 @@
             Committed::Snapshot { index, payload } => self.restore(index, &payload).await?,
             Committed::SnapshotRequested { index } => self.store_snapshot(index)?,
             Committed::ProposalFailed { proposal, failure } => self.pending.fail(proposal, failure),
-            Committed::ReadReady { read } => self.answer_read(read).await,
+            Committed::ReadReady { read } => self.complete_read(read).await,
             Committed::ReadFailed { read, failure } => self.fail_read(read, failure),
             Committed::Leadership(leadership) => self.change_role(leadership).await,
         }
@@ -161,25 +161,25 @@
         let command: ControlCommand = wire::decode(payload)?;
         let revision_before = self.state.records().revision();
         let changed_key = changed_key(&command);
-        let leases_changed = matches!(&command, ControlCommand::Leases { .. });
+        let has_lease_commands = matches!(&command, ControlCommand::Leases { .. });
         let freed = self.freed_workers(&command);
         let outcome = self.state.apply(command);
         self.applied_index = index;
         if self.state.records().revision() != revision_before
             && let Some(key) = changed_key
         {
-            self.record_changed(key).await;
+            self.handle_record_change(key).await;
         }
         if let ControlOutcome::Leases(events) = &outcome {
-            self.leases_changed(events, freed);
+            self.handle_lease_events(events, freed);
         }
         if let Some(proposal) = proposal
             && let Some(latency) = self.pending.complete(proposal, outcome)
         {
             self.telemetry.metrics.replication.observe_commit(latency);
         }
-        if leases_changed {
-            // The next step of a gang need not wait for the next tick.
+        if has_lease_commands {
+            // Starts the next step of a gang without waiting for the next tick.
             self.schedule(self.clock.now())?;
         }
         if index.get().is_multiple_of(HASH_INTERVAL_ENTRIES) {
@@ -196,24 +196,24 @@
         }
     }
 
-    async fn record_changed(&mut self, key: RecordKey) {
+    async fn handle_record_change(&mut self, key: RecordKey) {
         if matches!(key.kind, RecordKind::Objective | RecordKind::Organisation) {
             observe::set_objectives(&self.telemetry.metrics, self.state.records());
         }
         if key.kind == RecordKind::Membership {
-            self.wanted_replicas.send_replace(wanted_replicas(self.state.records()));
+            self.desired_replicas.send_replace(desired_replicas(self.state.records()));
         }
         self.publish(key).await;
     }
 
-    /// Logs the events and answers the held heartbeats of workers that may have a new command.
-    fn leases_changed(&mut self, events: &[LeaseEvent], mut workers: BTreeSet<WorkerName>) {
+    /// Logs the events and responds to the long polls of workers that may have a new command.
+    fn handle_lease_events(&mut self, events: &[LeaseEvent], mut workers: BTreeSet<WorkerName>) {
         events.iter().for_each(log_event);
-        let Role::Leader(lead) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         let leases = self.state.leases();
         observe::observe_events(&self.telemetry.metrics, leases, events);
         workers.append(&mut affected_workers(leases, events));
-        lead.release_workers(leases, &workers);
+        leader.complete_polls(leases, &workers);
         self.check_leadership();
     }
 
@@ -236,7 +236,7 @@
             .map(PublishedRecord::from)
             .collect();
         observe::set_objectives(&self.telemetry.metrics, records);
-        self.wanted_replicas.send_replace(wanted_replicas(records));
+        self.desired_replicas.send_replace(desired_replicas(records));
         self.publisher.reset(records.revision(), published).await;
         Ok(())
     }
@@ -248,18 +248,25 @@
     }
 
     async fn change_role(&mut self, leadership: Leadership) {
-        let leads = matches!(leadership, Leadership::Leader { .. });
-        self.telemetry.metrics.replication.count_leader_change(leads);
-        let known = match leadership {
+        let is_leader = matches!(leadership, Leadership::Leader { .. });
+        self.telemetry.metrics.replication.count_leader_change(is_leader);
+        let leader_known = match leadership {
             Leadership::Leader { .. } => true,
             Leadership::Follower { leader_address } => leader_address.is_some(),
         };
         let reason = "no leader is known; check that a quorum of control replicas runs";
-        self.telemetry.set_readiness(if known { Vec::new() } else { vec![reason.to_owned()] });
+        self.telemetry.set_readiness(if leader_known {
+            Vec::new()
+        } else {
+            vec![reason.to_owned()]
+        });
         match leadership {
             Leadership::Leader { term } => {
-                log::info!(event = "leadership_gained", term = term.get(); "this replica leads");
-                self.role = Role::Leader(Box::new(Lead::new(self.clock.now())));
+                log::info!(
+                    event = "leadership_gained", term = term.get();
+                    "this replica is the leader of term {term}"
+                );
+                self.role = Role::Leader(Box::new(LeaderState::new(self.clock.now())));
                 self.publisher.become_leader().await;
                 self.check_leadership();
             }
@@ -270,11 +277,11 @@
         }
     }
 
-    /// Asks the log for a confirmation that this replica still leads. Without one, nodes start no
-    /// new work and workers get no lease.
+    /// Starts a log read that confirms that this replica still leads, unless one is running.
+    /// Without a confirmation, nodes start no new work and workers get no lease.
     fn check_leadership(&mut self) {
-        let Role::Leader(lead) = &mut self.role else { return };
-        if !lead.begin_check() {
+        let Role::Leader(leader) = &mut self.role else { return };
+        if !leader.begin_check() {
             return;
         }
         let read = self.pending.add_read(PendingRead::LeadershipCheck(Instant::now()));
@@ -283,8 +290,8 @@
 
     async fn leadership_confirmed(&mut self, requested_at: Instant) {
         self.publisher.confirm_leadership(requested_at).await;
-        let Role::Leader(lead) = &mut self.role else { return };
-        if lead.check_succeeded() {
+        let Role::Leader(leader) = &mut self.role else { return };
+        if leader.check_succeeded() {
             self.check_leadership();
         }
     }
@@ -292,29 +299,29 @@
     async fn tick(&mut self) -> Result<(), ActorProcessingErr> {
         let now = self.clock.now();
         self.observe(now).await;
-        self.withdraw_forgotten_jobs(now)?;
-        let Role::Leader(lead) = &mut self.role else { return Ok(()) };
-        lead.release_expired(self.state.leases(), now);
+        self.withdraw_evicted_jobs(now)?;
+        let Role::Leader(leader) = &mut self.role else { return Ok(()) };
+        leader.complete_expired_polls(self.state.leases(), now);
         self.check_leadership();
         self.schedule(now)
     }
 
-    /// Proposes what the scheduler decides, unless earlier decisions are still on their way.
+    /// Proposes the scheduler's decisions, unless earlier ones are not applied yet.
     fn schedule(&mut self, now: TimestampMs) -> Result<(), ActorProcessingErr> {
-        let Role::Leader(lead) = &mut self.role else { return Ok(()) };
+        let Role::Leader(leader) = &mut self.role else { return Ok(()) };
         if self.pending.is_scheduling() {
             return Ok(());
         }
-        let commands = lead.schedule(self.state.leases(), now);
+        let commands = leader.schedule(self.state.leases(), now);
         self.propose_leases(commands, PendingProposal::Schedule)
     }
 
-    fn withdraw_forgotten_jobs(&mut self, now: TimestampMs) -> Result<(), ActorProcessingErr> {
-        let leads = matches!(self.role, Role::Leader(_));
-        if !leads || now.since(self.cleaned_at) < RETENTION_INTERVAL {
+    fn withdraw_evicted_jobs(&mut self, now: TimestampMs) -> Result<(), ActorProcessingErr> {
+        let is_leader = matches!(self.role, Role::Leader(_));
+        if !is_leader || now.since(self.retention_checked_at) < RETENTION_INTERVAL {
             return Ok(());
         }
-        self.cleaned_at = now;
+        self.retention_checked_at = now;
         for change in retention::withdrawals(self.state.records(), self.state.leases()) {
             self.propose(&ControlCommand::Change { change, now }, PendingProposal::Retention)?;
         }
@@ -330,9 +337,9 @@
         let commit = self.replication.status().borrow().commit;
         metrics.replication.set_committed_index(commit.get());
         metrics.view.set_revision(self.state.records().revision());
-        let Role::Leader(lead) = &self.role else { return };
+        let Role::Leader(leader) = &self.role else { return };
         observe::observe_state(metrics, self.state.leases());
-        metrics.capacity.set_fragmentation(lead.scheduler().fragmentation(self.state.leases()));
+        metrics.capacity.set_fragmentation(leader.scheduler().fragmentation(self.state.leases()));
         let in_force = self.publisher.in_force(self.state.records().revision()).await;
         let missing_count = u32::try_from(in_force.missing_nodes.len()).unwrap_or(u32::MAX);
         metrics.view.set_nodes_not_in_force(missing_count);
@@ -380,32 +387,33 @@
         self.propose(&ControlCommand::Claim { command, now }, PendingProposal::Claim(reply))
     }
 
-    fn read(&mut self, query: Query, reply: Reply<QueryAnswer>) {
+    fn read(&mut self, query: Query, reply: Reply<QueryResponse>) {
         let Some(reply) = self.admit(reply) else { return };
         let read = self.pending.add_read(PendingRead::Query(query, reply));
         self.replication.read(read);
     }
 
-    /// Gives the reply port back if this replica leads and is not stopping; else answers it.
-    fn admit<Answer>(&self, reply: Reply<Answer>) -> Option<Reply<Answer>>
+    /// Returns the reply port if this replica leads and is not stopping; otherwise sends the error
+    /// and returns `None`.
+    fn admit<Response>(&self, reply: Reply<Response>) -> Option<Reply<Response>>
     where
-        Answer: Send + 'static,
+        Response: Send + 'static,
     {
         let failure = match &self.role {
-            Role::Leader(_) if self.draining => ControlFailure::Stopping,
+            Role::Leader(_) if self.draining => CallError::Stopping,
             Role::Leader(_) => return Some(reply),
             Role::Follower { leader_address } => not_leader(*leader_address),
         };
-        // A caller that gave up needs no answer.
+        // An error means that the caller gave up.
         let _ = reply.send(Err(failure));
         None
     }
 
-    async fn answer_read(&mut self, read: ReadId) {
+    async fn complete_read(&mut self, read: ReadId) {
         match self.pending.take_read(read) {
             Some(PendingRead::Query(query, reply)) => {
-                let answer = self.answer(query).await;
-                let _ = reply.send(Ok(answer));
+                let response = self.execute_query(query).await;
+                let _ = reply.send(Ok(response));
             }
             Some(PendingRead::LeadershipCheck(requested_at)) => {
                 self.leadership_confirmed(requested_at).await;
@@ -421,41 +429,41 @@
                 let _ = reply.send(Err(not_leader(leader_address)));
             }
             Some(PendingRead::LeadershipCheck(_)) => {
-                let Role::Leader(lead) = &mut self.role else { return };
-                lead.check_failed(leader_address);
+                let Role::Leader(leader) = &mut self.role else { return };
+                leader.check_failed(leader_address);
             }
             None => {}
         }
     }
 
-    async fn answer(&self, query: Query) -> QueryAnswer {
+    async fn execute_query(&self, query: Query) -> QueryResponse {
         match query {
             Query::Record(kind, name) => {
                 let key = RecordKey { kind, name };
                 let record = self.state.records().get(&key);
-                QueryAnswer::Record(record.map(|stored| (key, stored.clone())))
+                QueryResponse::Record(record.map(|stored| (key, stored.clone())))
             }
             Query::Records(kind) => {
                 let records = self.state.records().list(kind);
-                QueryAnswer::Records(
+                QueryResponse::Records(
                     records.map(|(key, stored)| (key.clone(), stored.clone())).collect(),
                 )
             }
             Query::Change(change_id) => {
                 let status = queries::change_status(&self.state, &self.publisher, &change_id).await;
-                QueryAnswer::Change(status)
+                QueryResponse::Change(status)
             }
             Query::Status => {
                 let replication = self.replication.status().borrow().clone();
                 let scheduler = match &self.role {
-                    Role::Leader(lead) => Some((lead.scheduler(), self.clock.now())),
+                    Role::Leader(leader) => Some((leader.scheduler(), self.clock.now())),
                     Role::Follower { .. } => None,
                 };
                 let document =
                     queries::status(&self.state, &replication, &self.publisher, scheduler).await;
-                QueryAnswer::Document(document)
+                QueryResponse::Document(document)
             }
-            Query::Job(name) => QueryAnswer::Document(queries::job(&self.state, &name)),
+            Query::Job(name) => QueryResponse::Document(queries::job(&self.state, &name)),
         }
     }
 
@@ -463,25 +471,25 @@
         &mut self,
         worker: &WorkerName,
         body_json: &[u8],
-        reply: Reply<HeartbeatAnswer>,
+        reply: Reply<HeartbeatResponse>,
     ) -> Result<(), ActorProcessingErr> {
         let Some(reply) = self.admit(reply) else { return Ok(()) };
         let report = match heartbeat::decode(worker, body_json) {
             Ok(report) => report,
-            Err(answer) => {
-                let _ = reply.send(Ok(answer));
+            Err(response) => {
+                let _ = reply.send(Ok(response));
                 return Ok(());
             }
         };
         let now = self.clock.now();
-        let Role::Leader(lead) = &mut self.role else { return Ok(()) };
-        let commands = lead.heartbeat(self.state.leases(), report, reply, now);
+        let Role::Leader(leader) = &mut self.role else { return Ok(()) };
+        let commands = leader.heartbeat(self.state.leases(), report, reply, now);
         self.check_leadership();
         self.propose_leases(commands, PendingProposal::Reports)
     }
 }
 
-/// The record that a command may change.
+/// Returns the key of the record that a command may change.
 fn changed_key(command: &ControlCommand) -> Option<RecordKey> {
     match command {
         ControlCommand::Change { change, .. } => {
--- a/crates/yuccatack_control/src/call.rs
+++ b/crates/yuccatack_control/src/call.rs
@@ -6,45 +6,46 @@
 use ractor::rpc::CallResult;
 use tonic::{Code, Status};
 
-use crate::error::ControlFailure;
+use crate::error::CallError;
 use crate::message::{ControlMessage, Reply};
 
-/// The metadata key that names the leader to a caller that asked a follower.
+/// Metadata key under which a follower sends the leader's address.
 pub const LEADER_METADATA_KEY: &str = "yuccatack-leader";
 
-/// Longer than an election, so that a call does not fail because of one change of leader.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum time to wait for the actor. It is longer than an election, so that a single change of
+/// leader does not fail a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends the message that `build` makes and waits for the actor's answer.
-pub async fn ask<Answer, Build>(
+/// Sends the message that `build_message` creates and waits for the actor's response.
+pub async fn ask<Response, BuildMessage>(
     actor: &ActorRef<ControlMessage>,
-    build: Build,
-) -> Result<Answer, Status>
+    build_message: BuildMessage,
+) -> Result<Response, Status>
 where
-    Answer: Send + 'static,
-    Build: FnOnce(Reply<Answer>) -> ControlMessage,
+    Response: Send + 'static,
+    BuildMessage: FnOnce(Reply<Response>) -> ControlMessage,
 {
-    match actor.call(build, Some(CALL_LIMIT)).await {
-        Ok(CallResult::Success(answer)) => answer.map_err(Status::from),
-        Ok(CallResult::Timeout) => Err(ControlFailure::Unknown.into()),
-        Ok(CallResult::SenderError) => Err(ControlFailure::Unknown.into()),
-        Err(_) => Err(ControlFailure::Stopping.into()),
+    match actor.call(build_message, Some(CALL_TIMEOUT)).await {
+        Ok(CallResult::Success(result)) => result.map_err(Status::from),
+        Ok(CallResult::Timeout) => Err(CallError::Unknown.into()),
+        Ok(CallResult::SenderError) => Err(CallError::Unknown.into()),
+        Err(_) => Err(CallError::Stopping.into()),
     }
 }
 
-/// The status for a call with wrong content.
-pub fn invalid<Problem>(problem: Problem) -> Status
+/// Returns the status `INVALID_ARGUMENT` for a call with invalid content.
+pub fn invalid<Detail>(detail: Detail) -> Status
 where
-    Problem: ToString,
+    Detail: ToString,
 {
-    Status::invalid_argument(problem.to_string())
+    Status::invalid_argument(detail.to_string())
 }
 
-impl From<ControlFailure> for Status {
-    fn from(failure: ControlFailure) -> Self {
+impl From<CallError> for Status {
+    fn from(failure: CallError) -> Self {
         let message = failure.to_string();
         match failure {
-            ControlFailure::NotLeader { leader_address } => {
+            CallError::NotLeader { leader_address } => {
                 let mut status = Self::new(Code::FailedPrecondition, message);
                 let address = leader_address.and_then(|address| address.to_string().parse().ok());
                 if let Some(address) = address {
@@ -52,9 +53,9 @@
                 }
                 status
             }
-            ControlFailure::Unknown => Self::new(Code::Aborted, message),
-            ControlFailure::Stopping => Self::new(Code::Unavailable, message),
-            ControlFailure::Invalid { .. } => Self::new(Code::InvalidArgument, message),
+            CallError::Unknown => Self::new(Code::Aborted, message),
+            CallError::Stopping => Self::new(Code::Unavailable, message),
+            CallError::Invalid { .. } => Self::new(Code::InvalidArgument, message),
         }
     }
 }
--- a/crates/yuccatack_control/src/claims.rs
+++ b/crates/yuccatack_control/src/claims.rs
@@ -1,4 +1,4 @@
-//! The claims service for entries.
+//! The gRPC service through which entries claim and settle idempotency keys.
 
 use ractor::ActorRef;
 use tonic::{Request, Response, Status};
@@ -9,14 +9,14 @@
 use crate::call::{ask, invalid};
 use crate::message::ControlMessage;
 
-/// Serves entries through the control actor.
+/// Serves entries by messages to the control actor.
 #[derive(Clone, Debug)]
 pub struct ClaimsService {
     actor: ActorRef<ControlMessage>,
 }
 
 impl ClaimsService {
-    /// A service in front of `actor`.
+    /// Creates a service that forwards calls to `actor`.
     pub fn new(actor: ActorRef<ControlMessage>) -> Self {
         Self { actor }
     }
--- a/crates/yuccatack_control/src/clock.rs
+++ b/crates/yuccatack_control/src/clock.rs
@@ -4,10 +4,11 @@
 
 use yuccatack_core::prelude::*;
 
-/// Wall-clock time that never jumps while the process runs.
+/// A clock with wall-clock time that never jumps while the process runs.
 ///
-/// It starts at the wall clock, so that times in the log compare across leaders, and goes on with
-/// the monotonic clock, so that a correction of the wall clock neither shortens nor extends a lease.
+/// It starts at the wall-clock time, so that times in the log are comparable across leaders, and
+/// advances with the monotonic clock, so that a correction of the wall clock neither shortens nor
+/// extends a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -15,14 +16,14 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn new() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let started_at = TimestampMs::default() + DurationMs::from(since_epoch);
         Self { started: Instant::now(), started_at }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> TimestampMs {
         self.started_at + DurationMs::from(self.started.elapsed())
     }
--- a/crates/yuccatack_control/src/error.rs
+++ b/crates/yuccatack_control/src/error.rs
@@ -1,86 +1,86 @@
-//! Why the control process cannot start or answer.
+//! Errors of the control process and of calls to it.
 
 use std::io;
 use std::net::SocketAddr;
 
 use snafu::Snafu;
 
-/// Why the control process stopped.
+/// Reason why the control process did not start or stopped before it had drained.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
-    /// An address is taken or not on this machine.
+    /// An address is in use or not on this machine.
     #[snafu(display(
         "cannot listen on {address}: {source}; free the port or change `{setting}` in the settings"
     ))]
     Listen {
-        /// The address.
+        /// Value of the setting.
         address: SocketAddr,
-        /// The key of the setting.
+        /// Key of the setting that holds the address.
         setting: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The replicated log did not start.
     #[snafu(display("the replicated log did not start: {source}"))]
     Replication {
-        /// Why.
+        /// Error of the replicated log.
         source: yuccatack_replication::StartError,
     },
-    /// The metrics are not served.
+    /// The metrics server did not start.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Why.
+        /// Error of the metrics server, with its address.
         source: yuccatack_telemetry::MetricsServerError,
     },
     /// The control actor did not start.
     #[snafu(display("the control actor did not start: {source}; start the process again"))]
     Actor {
-        /// Why.
+        /// Error of the actor runtime.
         source: ractor::SpawnErr,
     },
     /// A server task failed.
     #[snafu(display("the server for `{setting}` failed: {message}; start the process again"))]
     Server {
-        /// The key of the setting that holds its address.
+        /// Key of the setting that holds the server's address.
         setting: &'static str,
-        /// Why.
+        /// Description of the failure.
         message: String,
     },
     /// The replicated log stopped while the process ran.
     #[snafu(display(
-        "the replicated log stopped; the log file or an earlier line says why and what to do"
+        "the replicated log stopped; an earlier line of the output or log file names the cause and remedy"
     ))]
     LogStopped,
-    /// The drain limit passed or a second signal came.
+    /// The drain limit passed or a second signal arrived before the drain was complete.
     #[snafu(display("stopped before the drain was complete; {waiting_count} calls were waiting"))]
     Aborted {
-        /// The calls that got no answer.
+        /// Number of calls that got no response.
         waiting_count: usize,
     },
 }
 
-/// Why a replica cannot answer a call.
+/// Reason why a replica cannot serve a call.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
-pub enum ControlFailure {
+pub enum CallError {
     /// Another replica leads.
     #[snafu(display("this replica does not lead; ask the leader"))]
     NotLeader {
-        /// The leader's address, if known.
+        /// Address of the leader; `None` while no leader is known.
         leader_address: Option<SocketAddr>,
     },
-    /// Leadership was lost while the command was on its way.
+    /// Leadership was lost before the command was committed, so it may or may not take effect.
     #[snafu(display(
         "leadership changed while the command was on its way; resend it with the same identifier"
     ))]
     Unknown,
-    /// The process is stopping.
+    /// The replica is stopping and accepts no further calls.
     #[snafu(display("this replica is stopping; ask another one"))]
     Stopping,
-    /// The call itself is wrong.
+    /// The content of the call is invalid.
     #[snafu(display("{message}"))]
     Invalid {
-        /// What is wrong and how to correct it.
+        /// Description of the fault and its correction.
         message: String,
     },
 }
--- a/crates/yuccatack_control/src/heartbeat.rs
+++ b/crates/yuccatack_control/src/heartbeat.rs
@@ -1,44 +1,47 @@
-//! Conversion of a worker's heartbeat and its answer between JSON and the scheduler's types.
+//! Conversion of a worker's heartbeat and the response between JSON and the scheduler's types.
 
 use serde::Serialize;
 use yuccatack_core::prelude::*;
 use yuccatack_leases::wire::{HeartbeatBody, HeartbeatReplyBody};
 use yuccatack_leases::{HeartbeatReply, HeartbeatReport};
 
-use crate::message::HeartbeatAnswer;
+use crate::message::HeartbeatResponse;
 
-/// The body of a refused heartbeat.
+/// Body of the response to an invalid heartbeat.
 #[derive(Serialize)]
-struct Problem {
+struct ErrorBody {
     message: String,
 }
 
-/// Reads a heartbeat; the error is the answer that tells the worker what is wrong.
-pub fn decode(worker: &WorkerName, body_json: &[u8]) -> Result<HeartbeatReport, HeartbeatAnswer> {
+/// Decodes a heartbeat; the error is the response that describes to the worker what is invalid.
+pub fn decode(worker: &WorkerName, body_json: &[u8]) -> Result<HeartbeatReport, HeartbeatResponse> {
     let body: HeartbeatBody = serde_json::from_slice(body_json).map_err(|error| {
-        refusal(&format!("the heartbeat does not follow the worker protocol: {error}"))
+        bad_request(&format!("the heartbeat does not follow the worker protocol: {error}"))
     })?;
-    body.into_report(worker.as_str()).map_err(|error| refusal(&error.to_string()))
+    body.into_report(worker.as_str()).map_err(|error| bad_request(&error.to_string()))
 }
 
-/// Writes the answer to a heartbeat.
-pub fn encode(reply: HeartbeatReply) -> HeartbeatAnswer {
-    answer(200, &HeartbeatReplyBody::from(reply))
+/// Encodes the response to a heartbeat.
+pub fn encode(reply: HeartbeatReply) -> HeartbeatResponse {
+    encode_body(200, &HeartbeatReplyBody::from(reply))
 }
 
-fn refusal(message: &str) -> HeartbeatAnswer {
-    answer(400, &Problem { message: message.to_owned() })
+fn bad_request(message: &str) -> HeartbeatResponse {
+    encode_body(400, &ErrorBody { message: message.to_owned() })
 }
 
-fn answer<Body>(status: u16, body: &Body) -> HeartbeatAnswer
+fn encode_body<Body>(status: u16, body: &Body) -> HeartbeatResponse
 where
     Body: Serialize,
 {
     match serde_json::to_vec(body) {
-        Ok(body_json) => HeartbeatAnswer { status, body_json: body_json.into() },
+        Ok(body_json) => HeartbeatResponse { status, body_json: body_json.into() },
         Err(error) => {
-            log::error!(event = "heartbeat_encoding_failed"; "{error}; report this as a defect");
-            HeartbeatAnswer { status: 500, body_json: "{}".into() }
+            log::error!(
+                event = "heartbeat_encoding_failed";
+                "cannot encode a heartbeat response: {error}; report this as a defect"
+            );
+            HeartbeatResponse { status: 500, body_json: "{}".into() }
         }
     }
 }
--- a/crates/yuccatack_control/src/lib.rs
+++ b/crates/yuccatack_control/src/lib.rs
@@ -1,8 +1,9 @@
-//! The control process: the replicated state of records, leases and claims.
+//! The control process, which replicates the state of records, leases and claims.
 //!
-//! One actor owns the state ([`state`]) and applies what the replicated log delivers. Services for
-//! operators, entries, agents and workers turn calls into messages to that actor. Decisions live in
-//! the crates of each duty; this crate puts them into one order.
+//! One actor owns the state ([`state`]) and applies the entries of the replicated log. Services for
+//! operators, entries, agents and workers convert calls into messages to that actor. The decisions
+//! live in the crates for records, leases and claims; this crate applies their commands in one
+//! order.
 
 mod actor;
 mod call;
@@ -12,8 +13,8 @@
 mod events;
 mod forward;
 mod heartbeat;
-mod held;
-mod lead;
+mod leader;
+mod long_poll;
 pub mod membership;
 mod message;
 mod observe;
@@ -30,7 +31,7 @@
 /// Generated wire types and services; regenerate with `cargo run --package codegen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic, rustdoc::all)]
 pub mod generated {
-    /// The `workers` protocol.
+    /// Forwarding of worker heartbeats from a follower to the leader.
     #[path = "yuccatack.workers.v1.rs"]
     pub mod workers;
 }
--- a/crates/yuccatack_control/src/membership.rs
+++ b/crates/yuccatack_control/src/membership.rs
@@ -1,4 +1,4 @@
-//! Brings the voters of the replicated log in line with the membership record.
+//! Reconciles the voters of the replicated log with the membership record.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
     ChangeError, MembershipChange, ReplicaId, ReplicationHandle, ReplicationStatus, RoleName,
 };
 
-/// The wanted voters; `None` while no membership record is in force.
-pub type WantedReplicas = Option<BTreeMap<ReplicaId, SocketAddr>>;
+/// Desired voters; `None` while no membership record is in force.
+pub type DesiredReplicas = Option<BTreeMap<ReplicaId, SocketAddr>>;
 
-/// How often the leader compares the wanted replicas with the members.
+/// Interval at which the leader compares the desired voters with the members.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The only name that a membership record may have.
-const MEMBERSHIP_NAME: &str = "control";
+/// Name of the membership record; no other name is valid.
+const MEMBERSHIP_RECORD_NAME: &str = "control";
 
-/// The wanted replicas of the record in force.
-pub fn wanted_replicas(records: &RecordStore) -> WantedReplicas {
-    let name = RecordName::new(MEMBERSHIP_NAME).ok()?;
+/// Returns the desired voters from the membership record in force.
+pub fn desired_replicas(records: &RecordStore) -> DesiredReplicas {
+    let name = RecordName::new(MEMBERSHIP_RECORD_NAME).ok()?;
     let stored = records.get(&RecordKey { kind: RecordKind::Membership, name })?;
     match stored.record.as_ref() {
         Record::Membership(membership) => Some(addresses(membership)),
@@ -37,45 +37,45 @@
     replicas.collect()
 }
 
-/// The next step from the present members to the wanted voters, one replica at a time.
+/// Returns the next change from the current members to the desired voters, or `None` if they agree.
 ///
-/// A missing replica first learns, then takes the place of an unwanted voter in one step, so that
-/// the number of voters that hold the log never shrinks for the sake of a repair. The present
-/// leader is removed last, because each removal ends its lead.
+/// Each change concerns one replica. A missing replica becomes a learner first and then replaces a
+/// surplus voter in a single change, so that a repair never reduces the number of voters that hold
+/// the log. The leader is removed last, because its removal ends its leadership.
 pub fn next_change(
-    wanted: &BTreeMap<ReplicaId, SocketAddr>,
+    desired: &BTreeMap<ReplicaId, SocketAddr>,
     status: &ReplicationStatus,
 ) -> Option<MembershipChange> {
-    let missing = wanted.iter().find(|(replica, _)| {
+    let missing = desired.iter().find(|(replica, _)| {
         !status.voters.contains_key(replica) && !status.learners.contains_key(replica)
     });
     if let Some((&replica, &address)) = missing {
         return Some(MembershipChange::AddLearner { replica, address });
     }
-    let unwanted_learner = status.learners.keys().find(|replica| !wanted.contains_key(replica));
-    if let Some(&replica) = unwanted_learner {
+    let surplus_learner = status.learners.keys().find(|replica| !desired.contains_key(replica));
+    if let Some(&replica) = surplus_learner {
         return Some(MembershipChange::RemoveLearner { replica });
     }
-    let mut unwanted: Vec<ReplicaId> =
-        status.voters.keys().filter(|replica| !wanted.contains_key(replica)).copied().collect();
-    unwanted.sort_by_key(|replica| (status.leader == Some(*replica), *replica));
+    let mut surplus: Vec<ReplicaId> =
+        status.voters.keys().filter(|replica| !desired.contains_key(replica)).copied().collect();
+    surplus.sort_by_key(|replica| (status.leader == Some(*replica), *replica));
     if let Some(&replica) = status.learners.keys().next() {
-        return Some(MembershipChange::Promote { replica, replaces: unwanted.first().copied() });
+        return Some(MembershipChange::Promote { replica, replaces: surplus.first().copied() });
     }
-    unwanted.first().map(|&replica| MembershipChange::RemoveVoter { replica })
+    surplus.first().map(|&replica| MembershipChange::RemoveVoter { replica })
 }
 
-/// Applies one step after the other while this replica leads.
-pub async fn reconcile(wanted: watch::Receiver<WantedReplicas>, replication: ReplicationHandle) {
+/// Applies the changes one by one while this replica leads.
+pub async fn reconcile(desired: watch::Receiver<DesiredReplicas>, replication: ReplicationHandle) {
     let mut interval = tokio::time::interval(RECONCILE_INTERVAL);
     loop {
         interval.tick().await;
-        let Some(wanted) = wanted.borrow().clone() else { continue };
+        let Some(desired) = desired.borrow().clone() else { continue };
         let status = replication.status().borrow().clone();
         if status.role != RoleName::Leader {
             continue;
         }
-        let Some(change) = next_change(&wanted, &status) else { continue };
+        let Some(change) = next_change(&desired, &status) else { continue };
         match replication.change_membership(change).await {
             Ok(()) => {
                 log::info!(event = "membership_changed"; "membership change applied: {change:?}");
@@ -84,7 +84,7 @@
             Err(error) => {
                 log::warn!(
                     event = "membership_change_refused";
-                    "membership change {change:?} must wait: {error}"
+                    "membership change {change:?} was refused and is tried again: {error}"
                 );
             }
         }
--- a/crates/yuccatack_control/src/message.rs
+++ b/crates/yuccatack_control/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the control actor.
+//! Messages to the control actor.
 
 use bytes::Bytes;
 use ractor::RpcReplyPort;
@@ -7,56 +7,56 @@
 use yuccatack_replication::Committed;
 use yuccatack_requests::claims::{ClaimCommand, ClaimOutcome};
 
-use crate::error::ControlFailure;
+use crate::error::CallError;
 
-/// The answer to a call, or why this replica cannot give it.
-pub type Reply<Answer> = RpcReplyPort<Result<Answer, ControlFailure>>;
+/// Port for the response to a call, or for the reason why this replica cannot serve it.
+pub type Reply<Response> = RpcReplyPort<Result<Response, CallError>>;
 
-/// What the control actor receives.
+/// A message to the control actor.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// The replicated log delivered something.
+    /// Delivers an entry, a snapshot, a result or a change of leadership from the replicated log.
     Committed(Committed),
-    /// Time has passed; the leader looks for work to schedule.
+    /// Runs the periodic work: scheduling on the leader, metrics on every replica.
     Tick,
-    /// An operator changes a record.
+    /// Changes a record for an operator.
     SubmitChange {
-        /// The change.
+        /// Change to validate and apply.
         change: Change,
-        /// Takes the outcome once the change is committed.
+        /// Receives the outcome once the change is committed and applied.
         reply: Reply<ChangeOutcome>,
     },
-    /// An operator asks for something that is read at the newest committed state.
+    /// Reads from the newest committed state for an operator.
     Read {
-        /// What is read.
+        /// Data to read.
         query: Query,
-        /// Takes the answer.
-        reply: Reply<QueryAnswer>,
+        /// Receives the result.
+        reply: Reply<QueryResponse>,
     },
-    /// An entry claims or settles a caller key.
+    /// Claims or settles an idempotency key for an entry.
     Claim {
-        /// The command.
+        /// Claim or settlement to apply.
         command: ClaimCommand,
-        /// Takes the outcome once the command is committed.
+        /// Receives the outcome once the command is committed and applied.
         reply: Reply<ClaimOutcome>,
     },
-    /// A worker reports; the answer carries its commands.
+    /// Handles the heartbeat of a worker; the response carries the commands for the worker.
     Heartbeat {
-        /// The worker named in the path.
+        /// Worker that is named in the path of the request.
         worker: WorkerName,
-        /// The report as JSON.
+        /// Body of the heartbeat as JSON.
         body_json: Bytes,
-        /// Takes the JSON of the answer.
-        reply: Reply<HeartbeatAnswer>,
+        /// Receives the status and the JSON body of the response.
+        reply: Reply<HeartbeatResponse>,
     },
-    /// The process is stopping: leadership is handed over and waiting calls are answered.
+    /// Refuses further calls and transfers the leadership, since the process is stopping.
     Drain {
-        /// Told when the handover was tried.
+        /// Notified when the transfer was attempted.
         reply: RpcReplyPort<()>,
     },
-    /// Asks how many calls wait for the log.
+    /// Requests the number of proposals and reads that wait for the log.
     WaitingCount {
-        /// Takes the number.
+        /// Receives the number.
         reply: RpcReplyPort<usize>,
     },
 }
@@ -64,48 +64,48 @@
 /// A read of the replicated state.
 #[derive(Clone, Debug)]
 pub enum Query {
-    /// One record.
+    /// Reads one record.
     Record(RecordKind, RecordName),
-    /// All records of a kind.
+    /// Reads all records of a kind.
     Records(RecordKind),
-    /// The outcome of a change and the nodes that do not apply it yet.
+    /// Reads the outcome of a change and the nodes that do not apply it yet.
     Change(ChangeId),
-    /// Replicas, nodes, workers, minions and guarantees.
+    /// Reads the status of replicas, nodes, workers, minions and guarantees.
     Status,
-    /// Why a job waits or was refused.
+    /// Reads the state of a job and the reason for it, such as a wait or a refusal.
     Job(JobName),
 }
 
-/// The answer to a [`Query`].
+/// Result of a [`Query`].
 #[derive(Clone, Debug)]
-pub enum QueryAnswer {
-    /// The record, if there is one.
+pub enum QueryResponse {
+    /// Record of the requested key; `None` if it does not exist.
     Record(Option<(RecordKey, StoredRecord)>),
-    /// The records in order of name.
+    /// Records in order of their names.
     Records(Vec<(RecordKey, StoredRecord)>),
-    /// What became of a change.
+    /// Outcome and distribution of a change.
     Change(ChangeStatus),
-    /// A JSON document for people and programs.
+    /// JSON document with the status or with the explanation of a job.
     Document(serde_json::Value),
 }
 
-/// What became of a change.
+/// Outcome of a change and its distribution to the nodes.
 #[derive(Clone, Debug)]
 pub struct ChangeStatus {
-    /// The first answer, unless the change id is unknown.
+    /// Outcome of the first submission; `None` if the change id is unknown.
     pub outcome: Option<ChangeOutcome>,
-    /// Whether every node applies the change or has stopped starting work.
+    /// `true` if every node applies the change or no longer starts new work.
     pub in_force_everywhere: bool,
-    /// The nodes that neither apply it nor have stopped.
+    /// Nodes that do not apply the change yet and may still start new work.
     pub missing_nodes: Vec<NodeName>,
 }
 
-/// The answer to a worker.
+/// Response to the heartbeat of a worker.
 #[derive(Clone, Debug)]
-pub struct HeartbeatAnswer {
-    /// The HTTP status.
+pub struct HeartbeatResponse {
+    /// HTTP status code.
     pub status: u16,
-    /// The JSON body.
+    /// Body of the HTTP response as JSON.
     pub body_json: Bytes,
 }
 
--- a/crates/yuccatack_control/src/observe.rs
+++ b/crates/yuccatack_control/src/observe.rs
@@ -1,4 +1,4 @@
-//! Metrics of the control leader: jobs, capacity and the time that changes take.
+//! Metrics of jobs, capacity and objectives.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use yuccatack_telemetry::Metrics;
 use yuccatack_telemetry::metrics::{JobOutcome, JobPhase as PhaseLabel, WorkerHealth};
 
-/// Counts what the events say about starts, reclaims and ends of jobs.
+/// Records starts, reclaims and ends of jobs from lease events.
 pub fn observe_events(metrics: &Metrics, leases: &LeaseTable, events: &[LeaseEvent]) {
     for event in events {
         match event {
@@ -46,7 +46,7 @@
     metrics.jobs.count_outcome(&entry.spec.organisation, entry.spec.class, outcome);
 }
 
-/// Sets the gauges of jobs and accelerators; reads every job, so call it every few seconds only.
+/// Sets the gauges of jobs and accelerators. Reads every job, so call it every few seconds only.
 pub fn observe_state(metrics: &Metrics, leases: &LeaseTable) {
     let mut jobs: BTreeMap<(PriorityClass, &str), (PhaseLabel, u64)> = BTreeMap::new();
     for class in PriorityClass::ALL {
@@ -88,9 +88,9 @@
     let cluster = leases.cluster();
     let mut free: BTreeMap<&DataCentreName, u32> = BTreeMap::new();
     let mut healthy: BTreeMap<&DataCentreName, u32> = BTreeMap::new();
-    for (_, cell) in cluster.workers() {
-        let Some(data_centre) = cluster.data_centre_name(cell.data_centre) else { continue };
-        *free.entry(data_centre).or_default() += cell.free().accelerator_count;
+    for (_, worker) in cluster.workers() {
+        let Some(data_centre) = cluster.data_centre_name(worker.data_centre) else { continue };
+        *free.entry(data_centre).or_default() += worker.free().accelerator_count;
         *healthy.entry(data_centre).or_default() += 1;
     }
     for (data_centre, count) in free {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Counts for the objectives in force.
+/// Sets the objectives and organisations for which the objective metrics are recorded.
 pub fn set_objectives(metrics: &Metrics, records: &RecordStore) {
     let objectives: Vec<_> = records
         .list(RecordKind::Objective)
--- a/crates/yuccatack_control/src/operators.rs
+++ b/crates/yuccatack_control/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' service: converts calls into messages to the control actor and back.
+//! The gRPC service for operators, which forwards calls to the control actor.
 
 use ractor::ActorRef;
 use tonic::{Request, Response, Status};
@@ -8,21 +8,21 @@
 use yuccatack_records::{Change, ChangeOutcome, RecordKind};
 
 use crate::call::{ask, invalid};
-use crate::message::{ControlMessage, Query, QueryAnswer};
+use crate::message::{ControlMessage, Query, QueryResponse};
 
-/// Serves operators through the control actor.
+/// Serves operators by messages to the control actor.
 #[derive(Clone, Debug)]
 pub struct OperatorsService {
     actor: ActorRef<ControlMessage>,
 }
 
 impl OperatorsService {
-    /// A service in front of `actor`.
+    /// Creates a service that forwards calls to `actor`.
     pub fn new(actor: ActorRef<ControlMessage>) -> Self {
         Self { actor }
     }
 
-    async fn read(&self, query: Query) -> Result<QueryAnswer, Status> {
+    async fn read(&self, query: Query) -> Result<QueryResponse, Status> {
         ask(&self.actor, |reply| ControlMessage::Read { query, reply }).await
     }
 }
@@ -47,10 +47,10 @@
         request: Request<wire::ReadRecordRequest>,
     ) -> Result<Response<wire::ReadRecordResponse>, Status> {
         let request = request.into_inner();
-        let kind = kind_of(&request.kind)?;
+        let kind = parse_kind(&request.kind)?;
         let name = RecordName::new(&request.name).map_err(invalid)?;
         match self.read(Query::Record(kind, name)).await? {
-            QueryAnswer::Record(record) => {
+            QueryResponse::Record(record) => {
                 let record = record.as_ref().map(|(key, stored)| (key, stored).into());
                 Ok(Response::new(wire::ReadRecordResponse { record }))
             }
@@ -62,9 +62,9 @@
         &self,
         request: Request<wire::ListRecordsRequest>,
     ) -> Result<Response<wire::ListRecordsResponse>, Status> {
-        let kind = kind_of(&request.into_inner().kind)?;
+        let kind = parse_kind(&request.into_inner().kind)?;
         match self.read(Query::Records(kind)).await? {
-            QueryAnswer::Records(records) => Ok(Response::new(wire::ListRecordsResponse {
+            QueryResponse::Records(records) => Ok(Response::new(wire::ListRecordsResponse {
                 records: records.iter().map(|(key, stored)| (key, stored).into()).collect(),
             })),
             other => Err(mismatch(&other)),
@@ -77,7 +77,7 @@
     ) -> Result<Response<wire::ReadChangeResponse>, Status> {
         let change_id = ChangeId::new(&request.into_inner().change_id);
         match self.read(Query::Change(change_id)).await? {
-            QueryAnswer::Change(status) => Ok(Response::new(wire::ReadChangeResponse {
+            QueryResponse::Change(status) => Ok(Response::new(wire::ReadChangeResponse {
                 known: status.outcome.is_some(),
                 answer: status.outcome.as_ref().map(Into::into),
                 in_force_everywhere: status.in_force_everywhere,
@@ -103,9 +103,9 @@
     }
 }
 
-fn document(answer: QueryAnswer) -> Result<Response<wire::DocumentResponse>, Status> {
-    match answer {
-        QueryAnswer::Document(value) => {
+fn document(response: QueryResponse) -> Result<Response<wire::DocumentResponse>, Status> {
+    match response {
+        QueryResponse::Document(value) => {
             let document_json = value.to_string().into();
             Ok(Response::new(wire::DocumentResponse { document_json }))
         }
@@ -113,15 +113,15 @@
     }
 }
 
-fn kind_of(word: &str) -> Result<RecordKind, Status> {
-    RecordKind::from_word(word).ok_or_else(|| {
+fn parse_kind(name: &str) -> Result<RecordKind, Status> {
+    RecordKind::from_word(name).ok_or_else(|| {
         invalid(format!(
-            "`{word}` is no record kind; use organisation, guarantee, job, policy, service, \
+            "`{name}` is no record kind; use organisation, guarantee, job, policy, service, \
              objective or membership"
         ))
     })
 }
 
-fn mismatch(answer: &QueryAnswer) -> Status {
-    Status::internal(format!("the control actor answered another query: {answer:?}"))
+fn mismatch(response: &QueryResponse) -> Status {
+    Status::internal(format!("the control actor answered another query: {response:?}"))
 }
--- a/crates/yuccatack_control/src/pending.rs
+++ b/crates/yuccatack_control/src/pending.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for the replicated log.
+//! Proposals and reads that wait for the replicated log.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -8,35 +8,35 @@
 use yuccatack_replication::{ProposalFailure, ProposalId, ReadId};
 use yuccatack_requests::claims::ClaimOutcome;
 
-use crate::error::ControlFailure;
-use crate::message::{Query, QueryAnswer, Reply};
+use crate::error::CallError;
+use crate::message::{Query, QueryResponse, Reply};
 use crate::state::ControlOutcome;
 
-/// What waits for a proposal.
+/// Origin of a proposal, with the port of the caller that waits for it.
 #[derive(Debug)]
 pub enum PendingProposal {
-    /// An operator.
+    /// A change by an operator.
     Change(Reply<ChangeOutcome>),
-    /// An entry.
+    /// A claim or settlement by an entry.
     Claim(Reply<ClaimOutcome>),
-    /// The scheduler; no further decisions are proposed until these are applied.
+    /// Decisions of the scheduler; no further ones are proposed until these are applied.
     Schedule,
-    /// Reports of workers; nobody waits for them.
+    /// Reports of workers, for which no caller waits.
     Reports,
-    /// The withdrawal of a forgotten job; nobody waits for it.
+    /// The withdrawal of the record of an evicted job, for which no caller waits.
     Retention,
 }
 
-/// What waits for a read of the newest committed state.
+/// Origin of a read of the newest committed state.
 #[derive(Debug)]
 pub enum PendingRead {
-    /// An operator.
-    Query(Query, Reply<QueryAnswer>),
-    /// The publisher, which tells the nodes that this replica led at that time.
+    /// A query by an operator.
+    Query(Query, Reply<QueryResponse>),
+    /// A check that this replica led at that time, which the publisher reports to the nodes.
     LeadershipCheck(Instant),
 }
 
-/// Numbers proposals and reads and keeps who waits for them.
+/// Assigns ids to proposals and reads, and stores them until they complete.
 #[derive(Debug, Default)]
 pub struct Pending {
     last_number: u64,
@@ -45,34 +45,35 @@
 }
 
 impl Pending {
-    /// Registers a proposal.
+    /// Adds a proposal and returns its id.
     pub fn add_proposal(&mut self, waiting: PendingProposal) -> ProposalId {
         let proposal = ProposalId::new(self.next_number());
         self.proposals.insert(proposal, (Instant::now(), waiting));
         proposal
     }
 
-    /// Registers a read.
+    /// Adds a read and returns its id.
     pub fn add_read(&mut self, waiting: PendingRead) -> ReadId {
         let read = ReadId::new(self.next_number());
         self.reads.insert(read, waiting);
         read
     }
 
-    /// The calls that wait now.
+    /// Returns the number of proposals and reads that wait.
     pub fn count(&self) -> usize {
         self.proposals.len() + self.reads.len()
     }
 
-    /// Whether decisions of the scheduler are on their way.
+    /// Returns `true` while decisions of the scheduler are proposed but not applied.
     pub fn is_scheduling(&self) -> bool {
         self.proposals.values().any(|(_, waiting)| matches!(waiting, PendingProposal::Schedule))
     }
 
-    /// Answers the call behind an applied proposal and tells how long it took.
+    /// Responds to the caller of an applied proposal. Returns the time since it was proposed, or
+    /// `None` if it is not pending here.
     pub fn complete(&mut self, proposal: ProposalId, outcome: ControlOutcome) -> Option<Duration> {
         let (proposed_at, waiting) = self.proposals.remove(&proposal)?;
-        // A caller that gave up has dropped its end; its resend finds the applied command.
+        // An error means that the caller gave up; its resend finds the applied command.
         match (waiting, outcome) {
             (PendingProposal::Change(reply), ControlOutcome::Change(outcome)) => {
                 let _ = reply.send(Ok(outcome));
@@ -85,18 +86,19 @@
             (waiting, outcome) => {
                 log::error!(
                     event = "proposal_mismatch";
-                    "proposal {proposal} gave {outcome:?} to {waiting:?}; report this as a defect"
+                    "proposal {proposal} by {waiting:?} has a result of another kind: {outcome:?}; \
+                     report this as a defect"
                 );
             }
         }
         Some(proposed_at.elapsed())
     }
 
-    /// Tells the call behind a failed proposal.
+    /// Sends the error to the caller of a failed proposal.
     pub fn fail(&mut self, proposal: ProposalId, failure: ProposalFailure) {
         let failure = match failure {
             ProposalFailure::NotLeader { leader_address } => not_leader(leader_address),
-            ProposalFailure::Unknown => ControlFailure::Unknown,
+            ProposalFailure::Unknown => CallError::Unknown,
         };
         match self.proposals.remove(&proposal).map(|(_, waiting)| waiting) {
             Some(PendingProposal::Change(reply)) => {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Takes a read that can be answered now or has failed.
+    /// Removes and returns a read that is ready or has failed.
     pub fn take_read(&mut self, read: ReadId) -> Option<PendingRead> {
         self.reads.remove(&read)
     }
@@ -123,7 +125,7 @@
     }
 }
 
-/// The failure that points to the leader.
-pub fn not_leader(leader_address: Option<SocketAddr>) -> ControlFailure {
-    ControlFailure::NotLeader { leader_address }
+/// Returns the error that refers the caller to the leader.
+pub fn not_leader(leader_address: Option<SocketAddr>) -> CallError {
+    CallError::NotLeader { leader_address }
 }
--- a/crates/yuccatack_control/src/process.rs
+++ b/crates/yuccatack_control/src/process.rs
@@ -1,4 +1,4 @@
-//! Start, service and graceful shutdown of the process.
+//! Startup, servers and graceful shutdown of the process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,20 +31,23 @@
 use crate::operators::OperatorsService;
 use crate::workers::serve_workers;
 
-/// How often the leader looks for work to schedule and confirms its lead to the nodes.
+/// Interval at which the leader schedules and confirms its leadership to the nodes.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a draining process looks whether calls still wait.
+/// Interval at which a draining process checks whether calls still wait.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Connections of lost machines are found by pings, since nothing else closes them.
+/// Interval between HTTP/2 pings, the only way to detect connections of lost machines.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(10);
+/// Time after which a connection without a response to a ping is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Streams of other processes do not end by themselves; they get this long to notice the shutdown.
-const STREAM_GRACE: Duration = Duration::from_millis(500);
+/// Time for other processes to close their streams at the shutdown. Afterwards the server is
+/// aborted, because such streams do not end by themselves.
+const STREAM_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs a control replica until the shutdown, which hands the lead over and answers waiting calls.
+/// Runs a control replica until the shutdown, which transfers leadership and completes pending
+/// calls.
 pub async fn run(settings: ControlSettings, mut shutdown: Shutdown) -> Result<(), ControlError> {
     let listener = listen(settings.listen_address, "listen_address").await?;
     let worker_listener = listen(settings.worker_address, "worker_address").await?;
@@ -55,19 +58,19 @@
             .await
             .context(ReplicationSnafu)?;
     let publisher = ViewPublisher::spawn();
-    let (wanted_replicas, wanted) = watch::channel(None);
+    let (desired_replicas, desired) = watch::channel(None);
     let arguments = ControlArguments {
         replication: replication.clone(),
         publisher: publisher.clone(),
         claim_limits: claim_limits(&settings),
         telemetry,
-        wanted_replicas,
+        desired_replicas,
     };
     let (actor, actor_task) =
         Actor::spawn(None, ControlActor, arguments).await.context(ActorSnafu)?;
 
-    let mut feed = tokio::spawn(forward_committed(committed, actor.clone()));
-    let reconciler = tokio::spawn(reconcile(wanted, replication.clone()));
+    let mut log_feed = tokio::spawn(forward_committed(committed, actor.clone()));
+    let reconciler = tokio::spawn(reconcile(desired, replication.clone()));
     let ticker = tokio::spawn(tick(actor.clone()));
     let workers = tokio::spawn(serve_workers(
         worker_listener,
@@ -78,19 +81,19 @@
     let mut server = tokio::spawn(serve(listener, actor.clone(), publisher, replication_service));
     log::info!(
         event = "control_started", address = settings.listen_address.to_string();
-        "control replica {} answers", settings.replica_id
+        "control replica {} accepts calls", settings.replica_id
     );
 
     let result = tokio::select! {
         () = shutdown.wait_for(ShutdownPhase::Draining) => drain(&actor, &mut shutdown).await,
-        _ = &mut feed => Err(ControlError::LogStopped),
+        _ = &mut log_feed => Err(ControlError::LogStopped),
         ended = &mut server => Err(server_failure(ended)),
     };
     workers.abort();
     ticker.abort();
     reconciler.abort();
     replication.stop().await;
-    let _ = tokio::time::timeout(STREAM_GRACE, &mut server).await;
+    let _ = tokio::time::timeout(STREAM_CLOSE_TIMEOUT, &mut server).await;
     server.abort();
     actor.stop(None);
     let _ = actor_task.await;
@@ -128,7 +131,7 @@
 
 async fn tick(actor: ActorRef<ControlMessage>) {
     let mut interval = tokio::time::interval(TICK_INTERVAL);
-    // After a pause of the process one tick is enough; a burst would only repeat the same decision.
+    // After a pause of the process one tick is enough; a burst would only repeat the decisions.
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
@@ -160,26 +163,26 @@
     ended: Result<Result<(), tonic::transport::Error>, tokio::task::JoinError>,
 ) -> ControlError {
     let message = match ended {
-        Ok(Ok(())) => "it ended".to_owned(),
+        Ok(Ok(())) => "the server task ended".to_owned(),
         Ok(Err(error)) => error.to_string(),
         Err(error) => error.to_string(),
     };
     ControlError::Server { setting: "listen_address", message }
 }
 
-/// Hands the lead over and waits until every call that was accepted has its answer.
+/// Transfers leadership and waits until every accepted call has its response.
 async fn drain(
     actor: &ActorRef<ControlMessage>,
     shutdown: &mut Shutdown,
 ) -> Result<(), ControlError> {
-    let finish = async {
+    let drained = async {
         let _ = actor.call(|reply| ControlMessage::Drain { reply }, None).await;
         while waiting_count(actor).await > 0 {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     };
     tokio::select! {
-        () = finish => Ok(()),
+        () = drained => Ok(()),
         () = shutdown.wait_for(ShutdownPhase::Aborting) => {
             let waiting_count = waiting_count(actor).await;
             Err(ControlError::Aborted { waiting_count })
--- a/crates/yuccatack_control/src/queries.rs
+++ b/crates/yuccatack_control/src/queries.rs
@@ -1,4 +1,4 @@
-//! Answers to operators' questions, as JSON documents.
+//! Results of operators' queries, most of them as JSON documents.
 
 use serde_json::{Value, json};
 use yuccatack_core::prelude::*;
@@ -9,13 +9,13 @@
 use crate::message::ChangeStatus;
 use crate::state::ControlState;
 
-/// What became of a change and which nodes do not apply it yet.
+/// Returns the outcome of a change and the nodes that do not apply it yet.
 pub async fn change_status(
     state: &ControlState,
     publisher: &ViewPublisher,
     change_id: &ChangeId,
 ) -> ChangeStatus {
-    let outcome = state.records().change(change_id).map(|remembered| remembered.outcome.clone());
+    let outcome = state.records().change(change_id).map(|recorded| recorded.outcome.clone());
     let revision = outcome.as_ref().and_then(|outcome| outcome.revision());
     let in_force = match revision {
         Some(revision) => publisher.in_force(revision).await,
@@ -28,7 +28,8 @@
     }
 }
 
-/// Replicas, nodes, workers, minions, jobs and guarantees.
+/// Returns the status of replicas, nodes, workers, minions, jobs and guarantees. `scheduler` is
+/// `None` on a follower, which does not know the leases of workers.
 pub async fn status(
     state: &ControlState,
     replication: &ReplicationStatus,
@@ -120,7 +121,7 @@
 fn guarantees_document(leases: &LeaseTable) -> Value {
     let guarantees = leases.guarantees().map(|guarantee| {
         let claimed = guarantee.instances.iter().filter(|shape| shape.claimed_by.is_some());
-        // A shape without a binding lost its capacity; all others can be reclaimed at any time.
+        // An instance without a binding has lost its capacity; all others can always be reclaimed.
         let unbacked = guarantee.instances.iter().filter(|shape| shape.binding.is_empty());
         let unbacked_count = unbacked.count();
         json!({
@@ -135,20 +136,20 @@
     guarantees.collect()
 }
 
-/// Where a job stands and why.
+/// Returns the state of a job with the reason for it.
 pub fn job(state: &ControlState, name: &JobName) -> Value {
     let explanation = state.leases().explain(name);
     json!({
         "job": name.as_str(),
         "known": state.leases().job(name).is_some(),
-        "state": state_word(explanation.status),
+        "state": state_name(explanation.status),
         "not_run": explanation.not_run,
-        "waits_for": explanation.wait.as_ref().map(wait_word),
+        "waits_for": explanation.wait.as_ref().map(wait_reason_name),
         "text": explanation.text,
     })
 }
 
-fn state_word(status: JobStatus) -> &'static str {
+fn state_name(status: JobStatus) -> &'static str {
     match status {
         JobStatus::Waiting => "waiting",
         JobStatus::Preparing => "preparing",
@@ -161,7 +162,7 @@
     }
 }
 
-fn wait_word(reason: &WaitReason) -> &'static str {
+fn wait_reason_name(reason: &WaitReason) -> &'static str {
     match reason {
         WaitReason::Quota { .. } => "quota",
         WaitReason::Capacity { .. } => "capacity",
--- a/crates/yuccatack_control/src/specs.rs
+++ b/crates/yuccatack_control/src/specs.rs
@@ -1,4 +1,4 @@
-//! Conversion of records into what the scheduler works with.
+//! Conversion of records into specifications for the scheduler.
 
 use yuccatack_core::prelude::*;
 use yuccatack_leases::{GuaranteeSpec, JobSpec, LeaseCommand, PolicySpec, QuotaSpec};
@@ -6,7 +6,7 @@
     GuaranteeRecord, JobRecord, OrganisationRecord, PolicyRecord, RecordKey, RecordKind,
 };
 
-/// The job that a record asks for.
+/// Returns the specification of a job.
 pub fn job(record: &JobRecord) -> JobSpec {
     JobSpec {
         name: record.name.clone(),
@@ -20,7 +20,7 @@
     }
 }
 
-/// The guarantee that a record asks for.
+/// Returns the specification of a guarantee.
 pub fn guarantee(record: &GuaranteeRecord) -> GuaranteeSpec {
     GuaranteeSpec {
         name: record.name.clone(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// The limits of an organisation.
+/// Returns the accelerator quota and the fair-share weight of an organisation.
 pub fn quota(record: &OrganisationRecord) -> QuotaSpec {
     QuotaSpec {
         organisation: record.name.clone(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// The scheduling policy.
+/// Returns the weights and the reserve of the scheduling policy.
 pub fn policy(record: &PolicyRecord) -> PolicySpec {
     PolicySpec {
         completion_weight: record.completion_weight,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What the withdrawal of a record means for the scheduler.
+/// Returns the lease command that follows from the withdrawal of a record, if there is one.
 pub fn withdrawal(key: &RecordKey, at: TimestampMs) -> Option<LeaseCommand> {
     let name = key.name.as_str();
     match key.kind {
--- a/crates/yuccatack_control/src/state.rs
+++ b/crates/yuccatack_control/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: records, leases and claims behind one order of commands.
+//! The replicated state: records, leases and claims, changed by one sequence of commands.
 
 use serde::{Deserialize, Serialize};
 use yuccatack_core::prelude::*;
@@ -10,42 +10,42 @@
 
 use crate::specs;
 
-/// A logged command.
+/// A command of the replicated log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ControlCommand {
-    /// An operator's change of a record.
+    /// Changes a record for an operator.
     Change {
-        /// The change.
+        /// Change to validate and apply.
         change: Change,
         /// The leader's wall clock when it logged the command.
         now: TimestampMs,
     },
-    /// What the leader decided about jobs and workers.
+    /// Applies the leader's decisions about jobs and workers.
     Leases {
-        /// The commands in order.
+        /// Commands in the order in which they are applied.
         commands: Vec<LeaseCommand>,
     },
-    /// A claim of a caller key or its settlement.
+    /// Claims or settles an idempotency key.
     Claim {
-        /// The command.
+        /// Claim or settlement to apply.
         command: ClaimCommand,
         /// The leader's wall clock when it logged the command.
         now: TimestampMs,
     },
 }
 
-/// The result of a command.
+/// Result of a [`ControlCommand`].
 #[derive(Clone, Debug)]
 pub enum ControlOutcome {
-    /// What became of a change.
+    /// Result of [`ControlCommand::Change`]: accepted or refused.
     Change(ChangeOutcome),
-    /// What happened to jobs and workers.
+    /// Events that the lease commands caused.
     Leases(Vec<LeaseEvent>),
-    /// The answer to a claim.
+    /// Result of [`ControlCommand::Claim`]: granted, existing, refused or settled.
     Claim(ClaimOutcome),
 }
 
-/// The whole replicated state. Equal commands in equal order give equal states on every replica.
+/// The whole replicated state. The same sequence of commands gives the same state on every replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ControlState {
     records: RecordStore,
@@ -54,7 +54,7 @@
 }
 
 impl ControlState {
-    /// An empty state.
+    /// Creates an empty state.
     pub fn new(claim_limits: ClaimLimits) -> Self {
         Self {
             records: RecordStore::default(),
@@ -63,22 +63,22 @@
         }
     }
 
-    /// The records.
+    /// Returns the records that operators have submitted.
     pub const fn records(&self) -> &RecordStore {
         &self.records
     }
 
-    /// Jobs, gangs and workers.
+    /// Returns the table of jobs, guarantees and workers.
     pub const fn leases(&self) -> &LeaseTable {
         &self.leases
     }
 
-    /// The claims of caller keys.
+    /// Returns the claims of idempotency keys.
     pub const fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
-    /// Applies one command.
+    /// Applies one command and returns its result.
     pub fn apply(&mut self, command: ControlCommand) -> ControlOutcome {
         match command {
             ControlCommand::Change { change, now } => {
@@ -95,11 +95,11 @@
     }
 
     fn apply_change(&mut self, change: &Change, now: TimestampMs) -> ChangeOutcome {
-        let checked = self.records.validate(change, now).and_then(|validated| {
+        let validation = self.records.validate(change, now).and_then(|validated| {
             let commands = self.lease_commands(&validated, now).map_err(ChangeOutcome::Refused)?;
             Ok((validated, commands))
         });
-        match checked {
+        match validation {
             Ok((validated, commands)) => {
                 let outcome = self.records.commit(validated, now);
                 for command in commands {
@@ -114,7 +114,8 @@
         }
     }
 
-    /// What a change of records means for jobs, guarantees and quotas, or why it cannot be kept.
+    /// Returns the lease commands that follow from a change of a record, or the reason to refuse
+    /// the change.
     fn lease_commands(
         &self,
         validated: &Validated,
--- a/crates/yuccatack_control/src/wire.rs
+++ b/crates/yuccatack_control/src/wire.rs
@@ -1,9 +1,9 @@
-//! Encoding of logged commands and snapshots, and digests of states.
+//! Encoding of log commands and snapshots, and hashes of states.
 
 use serde::Serialize;
 pub use yuccatack_replication::{EncodingError, decode, encode};
 
-/// A digest of a state, to compare replicas at equal log positions.
+/// Returns a hash of a state, to compare replicas at the same log index.
 pub fn state_hash<State>(state: &State) -> Result<u64, EncodingError>
 where
     State: Serialize,
--- a/crates/yuccatack_control/src/workers.rs
+++ b/crates/yuccatack_control/src/workers.rs
@@ -17,18 +17,18 @@
 use yuccatack_core::prelude::*;
 use yuccatack_lifecycle::{Shutdown, ShutdownPhase};
 
-use crate::error::ControlFailure;
+use crate::error::CallError;
 use crate::forward::Forwarder;
-use crate::message::{ControlMessage, HeartbeatAnswer};
+use crate::message::{ControlMessage, HeartbeatResponse};
 
-/// The largest heartbeat: 64 tasks with their usage take a few kilobytes.
-const BODY_LIMIT_BYTES: usize = 256 * 1024;
+/// Maximum size of a heartbeat; 64 tasks with their usage take a few kilobytes.
+const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// How long a worker may take to send the head of a heartbeat.
-const HEADER_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum time for a worker to send the headers of a heartbeat.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long the actor may hold an answer back; shorter than the lease.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
+/// Maximum time to wait for the actor's response; shorter than the lease.
+const ACTOR_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Serves workers until the shutdown reaches its draining phase.
 pub async fn serve_workers(
@@ -47,8 +47,11 @@
                 tokio::spawn(serve_connection(stream, peer, actor.clone(), forwarder.clone()));
             }
             Err(error) => {
-                log::warn!(event = "worker_accept_failed"; "cannot accept a connection: {error}");
-                // Without a pause a full table of file descriptors would make this loop spin.
+                log::warn!(
+                    event = "worker_accept_failed";
+                    "cannot accept a worker connection: {error}; trying again after a pause"
+                );
+                // Without a pause this loop would spin while no file descriptors are available.
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
@@ -64,35 +67,38 @@
     let service = service_fn(move |request| {
         let actor = actor.clone();
         let forwarder = forwarder.clone();
-        async move { Ok::<_, Infallible>(answer(request, &actor, &forwarder).await) }
+        async move { Ok::<_, Infallible>(handle_request(request, &actor, &forwarder).await) }
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEADER_LIMIT)
+        .header_read_timeout(HEADER_READ_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!(event = "worker_connection_ended", peer = peer.to_string(); "{error}");
+        log::debug!(
+            event = "worker_connection_ended", peer = peer.to_string();
+            "the connection of the worker at {peer} failed and was closed: {error}"
+        );
     }
 }
 
-async fn answer(
+async fn handle_request(
     request: Request<Incoming>,
     actor: &ActorRef<ControlMessage>,
     forwarder: &Forwarder,
 ) -> Response<Full<Bytes>> {
-    let worker = match worker_of(&request) {
+    let worker = match parse_worker(&request) {
         Ok(worker) => worker,
-        Err((status, message)) => return refusal(status, &message),
+        Err((status, message)) => return error_response(status, &message),
     };
-    let Ok(body) = Limited::new(request.into_body(), BODY_LIMIT_BYTES).collect().await else {
-        let message = format!("send a whole body of at most {BODY_LIMIT_BYTES} bytes");
-        return refusal(StatusCode::BAD_REQUEST, &message);
+    let Ok(body) = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await else {
+        let message = format!("send a whole body of at most {MAX_BODY_BYTES} bytes");
+        return error_response(StatusCode::BAD_REQUEST, &message);
     };
     let body_json = body.to_bytes();
     match heartbeat(worker, body_json, actor, forwarder).await {
-        Ok(answer) => respond(answer),
-        Err(failure) => refusal(StatusCode::SERVICE_UNAVAILABLE, &failure),
+        Ok(response) => into_http_response(response),
+        Err(failure) => error_response(StatusCode::SERVICE_UNAVAILABLE, &failure),
     }
 }
 
@@ -101,15 +107,15 @@
     body_json: Bytes,
     actor: &ActorRef<ControlMessage>,
     forwarder: &Forwarder,
-) -> Result<HeartbeatAnswer, String> {
-    let build = |reply| ControlMessage::Heartbeat {
+) -> Result<HeartbeatResponse, String> {
+    let build_message = |reply| ControlMessage::Heartbeat {
         worker: worker.clone(),
         body_json: body_json.clone(),
         reply,
     };
-    match actor.call(build, Some(ANSWER_LIMIT)).await {
-        Ok(CallResult::Success(Ok(answer))) => Ok(answer),
-        Ok(CallResult::Success(Err(ControlFailure::NotLeader {
+    match actor.call(build_message, Some(ACTOR_TIMEOUT)).await {
+        Ok(CallResult::Success(Ok(response))) => Ok(response),
+        Ok(CallResult::Success(Err(CallError::NotLeader {
             leader_address: Some(leader_address),
         }))) => forwarder
             .forward(leader_address, worker, body_json)
@@ -122,7 +128,7 @@
     }
 }
 
-fn worker_of(request: &Request<Incoming>) -> Result<WorkerName, (StatusCode, String)> {
+fn parse_worker(request: &Request<Incoming>) -> Result<WorkerName, (StatusCode, String)> {
     let path = request.uri().path();
     let name = path
         .strip_prefix("/v1/workers/")
@@ -136,14 +142,14 @@
     WorkerName::new(name).map_err(|error| (StatusCode::BAD_REQUEST, error.to_string()))
 }
 
-fn respond(answer: HeartbeatAnswer) -> Response<Full<Bytes>> {
-    let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = Response::new(Full::new(answer.body_json));
+fn into_http_response(heartbeat: HeartbeatResponse) -> Response<Full<Bytes>> {
+    let status = StatusCode::from_u16(heartbeat.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    let mut response = Response::new(Full::new(heartbeat.body_json));
     *response.status_mut() = status;
     response
 }
 
-fn refusal(status: StatusCode, message: &str) -> Response<Full<Bytes>> {
+fn error_response(status: StatusCode, message: &str) -> Response<Full<Bytes>> {
     let body_json = serde_json::json!({ "message": message }).to_string().into();
-    respond(HeartbeatAnswer { status: status.as_u16(), body_json })
+    into_http_response(HeartbeatResponse { status: status.as_u16(), body_json })
 }
--- a/crates/yuccatack_control/tests/job_retention.rs
+++ b/crates/yuccatack_control/tests/job_retention.rs
@@ -1,5 +1,5 @@
-//! Guards against job records that stay for good, and against the withdrawal of a job that still
-//! counts.
+//! Guards against job records that are never withdrawn, which lets the state grow without bound,
+//! and against the withdrawal of the record of a job that the lease table still has.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -52,18 +52,18 @@
 }
 
 #[test]
-fn known_job_stays() {
+fn known_job_kept() {
     let state = state_with_job();
     assert!(state.leases().job(&JobName::new("rank").unwrap()).is_some());
     assert!(withdrawals(state.records(), state.leases()).is_empty());
 }
 
 #[test]
-fn forgotten_job_withdrawn_once() {
+fn evicted_job_withdrawn_once() {
     let mut state = state_with_job();
-    let forgotten = withdrawals(state.records(), &LeaseTable::default());
-    assert_eq!(forgotten.len(), 1);
-    for change in forgotten.iter().chain(&forgotten) {
+    let evicted = withdrawals(state.records(), &LeaseTable::default());
+    assert_eq!(evicted.len(), 1);
+    for change in evicted.iter().chain(&evicted) {
         state.apply(ControlCommand::Change { change: change.clone(), now: NOW });
     }
     assert!(withdrawals(state.records(), &LeaseTable::default()).is_empty());
