--- a/crates/yuccatack_control/src/error.rs
+++ b/crates/yuccatack_control/src/error.rs
@@ -49,7 +49,8 @@
     },
     /// The replicated log stopped while the process ran.
     #[snafu(display(
-        "the replicated log stopped; an earlier line of the output or log file names the cause and remedy"
+        "the replicated log stopped; an earlier line of the output or of the log file names the \
+         cause and the remedy"
     ))]
     LogStopped,
     /// The drain limit passed or a second signal arrived before the drain was complete.
