--- a/crates/yuccatack_entry/src/link.rs
+++ b/crates/yuccatack_entry/src/agent_client.rs
@@ -1,4 +1,4 @@
-//! One exchange with an agent.
+//! Calls to an agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,42 +16,42 @@
 use yuccatack_requests::prelude::*;
 use yuccatack_requests::wire::attempts::attempt_parts;
 
-/// How long connecting to an agent may take.
+/// Time within which a connection to an agent must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a connection with calls in flight is pinged.
+/// Interval of keep-alive pings on a connection with calls in flight.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a ping may go unanswered before the connection counts as broken.
+/// Time after which an unanswered ping marks the connection as broken.
 const PING_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An exchange with an agent that gave no checked result.
+/// A call to an agent that returned no verified result.
 #[derive(Debug, Snafu)]
-pub enum LinkError {
-    /// No connection was made, so that nothing was sent.
+pub enum AgentCallError {
+    /// No connection was established, so that nothing was sent.
     #[snafu(display("cannot connect to the agent: {detail}"))]
     Connect {
-        /// What was seen.
+        /// Error of the transport.
         detail: Box<str>,
     },
-    /// The agent refused the attempt as malformed; it did not start it.
+    /// The agent rejected the attempt as malformed and did not start it.
     #[snafu(display("the agent refused the attempt: {detail}"))]
     Refused {
-        /// What the agent said.
+        /// Message from the agent.
         detail: Box<str>,
     },
-    /// The exchange broke, or the answer is not this attempt's whole answer.
-    #[snafu(display("the exchange with the agent broke: {detail}"))]
+    /// The call broke off, or the response is incomplete or belongs to another attempt.
+    #[snafu(display("the call to the agent broke off: {detail}"))]
     Broken {
-        /// What was seen.
+        /// Error of the transport or of the check of the response.
         detail: Box<str>,
     },
 }
 
-fn broken(detail: impl std::fmt::Display) -> LinkError {
-    LinkError::Broken { detail: detail.to_string().into_boxed_str() }
+fn broken(detail: impl std::fmt::Display) -> AgentCallError {
+    AgentCallError::Broken { detail: detail.to_string().into_boxed_str() }
 }
 
-/// Whether the call failed because an earlier connection is gone and no new one could be made.
-fn never_connected(status: &Status) -> bool {
+/// Returns `true` if the pooled connection was closed and reconnecting failed.
+fn reconnect_failed(status: &Status) -> bool {
     let mut cause = std::error::Error::source(status);
     while let Some(error) = cause {
         if error.is::<ConnectError>() {
@@ -62,23 +62,23 @@
     false
 }
 
-fn connect_error(error: impl std::fmt::Display) -> LinkError {
-    LinkError::Connect { detail: error.to_string().into_boxed_str() }
+fn connect_error(error: impl std::fmt::Display) -> AgentCallError {
+    AgentCallError::Connect { detail: error.to_string().into_boxed_str() }
 }
 
-fn call_error(status: &Status) -> LinkError {
-    if never_connected(status) {
+fn call_error(status: &Status) -> AgentCallError {
+    if reconnect_failed(status) {
         return connect_error(status.message());
     }
     let detail = status.message().to_owned().into_boxed_str();
     match status.code() {
-        Code::InvalidArgument => LinkError::Refused { detail },
-        _ => LinkError::Broken { detail },
+        Code::InvalidArgument => AgentCallError::Refused { detail },
+        _ => AgentCallError::Broken { detail },
     }
 }
 
 /// Opens a connection to an agent.
-pub async fn connect(address: SocketAddr) -> Result<Channel, LinkError> {
+pub async fn connect(address: SocketAddr) -> Result<Channel, AgentCallError> {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .map_err(connect_error)?
         .connect_timeout(CONNECT_TIMEOUT)
@@ -88,14 +88,14 @@
     endpoint.connect().await.map_err(connect_error)
 }
 
-/// Sends an attempt and waits for what became of it.
+/// Sends an attempt and waits for its resolution.
 pub async fn execute(
     channel: Channel,
     claimed: &ClaimedAttempt,
     content: &RequestContent,
     remaining: Duration,
     body_limit_bytes: u64,
-) -> Result<Resolution, LinkError> {
+) -> Result<Resolution, AgentCallError> {
     let head = AttemptHead {
         attempt: claimed.attempt,
         incarnation: claimed.incarnation,
@@ -104,17 +104,17 @@
     let parts = tokio_stream::iter(attempt_parts(&head, content));
     let response = AttemptsClient::new(channel).execute(Request::new(parts)).await;
     let stream = response.map_err(|status| call_error(&status))?.into_inner();
-    read(stream, claimed.attempt, &content.organisation, body_limit_bytes).await
+    read_response(stream, claimed.attempt, &content.organisation, body_limit_bytes).await
 }
 
-/// Asks what became of an attempt.
+/// Queries the resolution of an attempt that was sent earlier, for at most `wait`.
 pub async fn resolve(
     channel: Channel,
     claimed: &ClaimedAttempt,
     organisation: &OrganisationName,
     wait: Duration,
     body_limit_bytes: u64,
-) -> Result<Resolution, LinkError> {
+) -> Result<Resolution, AgentCallError> {
     let request = wire::ResolveRequest {
         attempt_id: Bytes::copy_from_slice(claimed.attempt.as_bytes()),
         agent_incarnation: claimed.incarnation.get(),
@@ -123,21 +123,21 @@
     };
     let response = AttemptsClient::new(channel).resolve(Request::new(request)).await;
     let stream = response.map_err(broken)?.into_inner();
-    read(stream, claimed.attempt, organisation, body_limit_bytes).await
+    read_response(stream, claimed.attempt, organisation, body_limit_bytes).await
 }
 
-async fn read(
+async fn read_response(
     mut stream: Streaming<wire::AnswerPart>,
     attempt: AttemptId,
     organisation: &OrganisationName,
     body_limit_bytes: u64,
-) -> Result<Resolution, LinkError> {
-    let mut answer = AnswerCollector::new(attempt, organisation.clone(), body_limit_bytes);
+) -> Result<Resolution, AgentCallError> {
+    let mut collector = AnswerCollector::new(attempt, organisation.clone(), body_limit_bytes);
     loop {
         let part = stream.message().await.map_err(broken)?;
-        let part = part.ok_or_else(|| broken("the answer ended before its last part"))?;
+        let part = part.ok_or_else(|| broken("the response stream ended before its last part"))?;
         let part = AnswerPart::try_from(part).map_err(broken)?;
-        if let Some(resolution) = answer.push(part).map_err(broken)? {
+        if let Some(resolution) = collector.push(part).map_err(broken)? {
             return Ok(resolution);
         }
     }
--- a/crates/yuccatack_entry/src/balancer/actor.rs
+++ b/crates/yuccatack_entry/src/balancer/actor.rs
@@ -1,4 +1,4 @@
-//! The balancer's task.
+//! Implementation of the balancer task.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,20 +17,20 @@
 use super::message::{BalancerMessage, ChooseRequest};
 use super::records::{DEFAULT_LIMITS, minion_loads, organisation_record, service_record};
 
-/// How often waiting requests are looked at without any other cause: minions that were passed
-/// over become eligible with time, and deadlines pass.
+/// Interval at which the queues are checked without a message or a change of the view. Minions that
+/// the router avoided become eligible again with time, and deadlines expire.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Bounds of admission.
+/// Settings of admission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BalancerSettings {
-    /// The queue of each service, unless its record says otherwise.
+    /// Limits of the queue of each service; the length in the record of the service overrides.
     pub queue: QueueLimits,
-    /// The budget for retries and hedges.
+    /// Budget that retries and hedges share.
     pub retries: RetryBudgetSettings,
 }
 
-/// The owner of quotas, queues, the retry budget and the router.
+/// State of the balancer task: quotas, queues, the retry budget and the router.
 pub struct Balancer {
     settings: BalancerSettings,
     router: Router,
@@ -46,7 +46,7 @@
     NotRun::retryable(NotRunReason::QueueFull, 200, "as many requests wait as may")
 }
 
-fn late() -> NotRun {
+fn deadline_too_short() -> NotRun {
     NotRun::retryable(
         NotRunReason::Deadline,
         200,
@@ -63,7 +63,7 @@
 }
 
 impl Balancer {
-    /// Builds the balancer and the sender of messages to it.
+    /// Creates the balancer and the sender of messages to it.
     pub fn new(
         settings: BalancerSettings,
         router: Router,
@@ -83,10 +83,10 @@
         (balancer, sender)
     }
 
-    /// Runs until every sender is gone.
+    /// Processes messages until every sender is dropped.
     pub async fn run(mut self) {
         self.router.update(minion_loads(&self.view.view()));
-        let mut view_kept = true;
+        let mut view_open = true;
         let mut queue_checks = tokio::time::interval(QUEUE_CHECK_INTERVAL);
         queue_checks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -96,8 +96,8 @@
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                changed = self.view.changed(), if view_kept => {
-                    view_kept = changed.is_ok();
+                changed = self.view.changed(), if view_open => {
+                    view_open = changed.is_ok();
                     self.router.update(minion_loads(&self.view.view()));
                     self.serve_queues();
                 }
@@ -106,13 +106,13 @@
         }
     }
 
-    fn at(&self, instant: Instant) -> TimestampMs {
+    fn timestamp(&self, instant: Instant) -> TimestampMs {
         let elapsed = instant.saturating_duration_since(self.started);
         TimestampMs::new(DurationMs::from(elapsed).get())
     }
 
     fn now(&self) -> TimestampMs {
-        self.at(Instant::now())
+        self.timestamp(Instant::now())
     }
 
     fn handle(&mut self, message: BalancerMessage) {
@@ -129,7 +129,7 @@
                 let _ = reply.send(counts.map(|(name, count)| (name.clone(), count)).collect());
             }
             BalancerMessage::Choose(request) => self.choose(request),
-            BalancerMessage::Finished(target, feedback) => {
+            BalancerMessage::RecordFeedback(target, feedback) => {
                 let now = self.now();
                 self.router.record_feedback(&target, feedback, now);
                 self.serve_queues();
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Answers the request unless every minion is full; then it is given back.
+    /// Replies with a minion or a refusal. Returns the request if no minion has a free slot.
     fn try_choose(&mut self, request: ChooseRequest) -> Option<ChooseRequest> {
         if request.reply.is_closed() {
             return None;
@@ -214,7 +214,7 @@
         now: TimestampMs,
     ) {
         if let Err(Ok(target)) = reply.send(Ok(target)) {
-            // The request ended while it waited.
+            // The request ended while it waited, so that its slot is released.
             self.router.record_feedback(&target, Feedback::Neutral, now);
         }
     }
@@ -240,7 +240,7 @@
             organisation: request.organisation.clone(),
             weight,
             class: request.class,
-            deadline: self.at(request.deadline),
+            deadline: self.timestamp(request.deadline),
             item: request,
         };
         let service = queued.item.service.clone();
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Gives free minions to waiting requests.
+    /// Assigns minions with free slots to waiting requests.
     fn serve_queues(&mut self) {
         let services: Vec<ServiceName> = self.queues.keys().cloned().collect();
         for service in services {
@@ -264,21 +264,23 @@
         }
     }
 
-    /// A request with less than twice the typical answer time left is late: one that is started
-    /// and not answered in time takes a slot and ends as unknown.
+    /// Assigns minions of one service to its waiting requests.
+    ///
+    /// Refuses a request with less than twice the mean latency left before its deadline: if it were
+    /// started and not answered in time, it would occupy a slot and end with an unknown outcome.
     fn serve_queue(&mut self, service: &ServiceName, queue: &mut FairQueue<ChooseRequest>) {
-        let typical = self.router.mean_latency(service);
-        let run_time = typical + typical;
+        let mean_latency = self.router.mean_latency(service);
+        let required_time = mean_latency + mean_latency;
         while self.router.may_choose(service, self.now()) {
-            match queue.pop(self.now(), run_time) {
+            match queue.pop(self.now(), required_time) {
                 Some(Dequeued::Next(queued)) => {
                     if let Some(request) = self.try_choose(queued.item) {
-                        // Another minion was full after all; the request waits again.
+                        // The router found no free slot after all; the caller may try again.
                         let _ = request.reply.send(Err(queue_full()));
                     }
                 }
                 Some(Dequeued::Late(queued)) => {
-                    let _ = queued.item.reply.send(Err(late()));
+                    let _ = queued.item.reply.send(Err(deadline_too_short()));
                 }
                 None => return,
             }
--- a/crates/yuccatack_entry/src/balancer/message.rs
+++ b/crates/yuccatack_entry/src/balancer/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the balancer.
+//! Messages that the balancer task receives.
 
 use std::time::Instant;
 
@@ -8,36 +8,36 @@
 use yuccatack_requests::prelude::*;
 use yuccatack_requests::routing::Feedback;
 
-/// A request for a minion.
+/// A request for a minion that can run an attempt.
 #[derive(Debug)]
 pub struct ChooseRequest {
-    /// Who asks.
+    /// Organisation of the caller.
     pub organisation: OrganisationName,
-    /// How urgent it is.
+    /// Priority class, which orders waiting requests.
     pub class: PriorityClass,
-    /// The service.
+    /// Service whose minions are candidates.
     pub service: ServiceName,
-    /// When an answer is of no use any more.
+    /// Time after which the caller no longer waits for a response.
     pub deadline: Instant,
-    /// Why a minion is needed.
+    /// Kind of attempt; retries and hedges draw on the retry budget.
     pub kind: ChoiceKind,
-    /// Nodes that should not be chosen again.
+    /// Nodes that should not be chosen again for this request.
     pub excluded: Vec<NodeName>,
-    /// Where the choice goes.
+    /// Receives the chosen minion or the reason for the refusal.
     pub reply: oneshot::Sender<Result<Target, NotRun>>,
 }
 
-/// Messages to the balancer.
+/// A message to the balancer.
 #[derive(Debug)]
 pub enum BalancerMessage {
-    /// Count a request against its organisation's limits.
+    /// Counts a request against the limits of its organisation.
     Admit(OrganisationName, oneshot::Sender<Result<(), NotRun>>),
-    /// An admitted request has ended.
+    /// Ends an admitted request.
     Release(OrganisationName),
-    /// Tell which organisations have requests in flight, and how many.
+    /// Returns the number of requests in flight of each organisation that has any.
     ListInFlight(oneshot::Sender<Vec<(OrganisationName, u32)>>),
-    /// Choose a minion, now or once one is free.
+    /// Chooses a minion, or queues the request until a slot is free.
     Choose(ChooseRequest),
-    /// An attempt on a chosen minion has ended.
-    Finished(Target, Feedback),
+    /// Releases a chosen minion and records how its attempt ended.
+    RecordFeedback(Target, Feedback),
 }
--- a/crates/yuccatack_entry/src/balancer/mod.rs
+++ b/crates/yuccatack_entry/src/balancer/mod.rs
@@ -1,4 +1,4 @@
-//! The task that owns admission and the choice of minions.
+//! Admission, queueing and load balancing over minions, owned by one task.
 
 mod actor;
 mod message;
--- a/crates/yuccatack_entry/src/balancer/records.rs
+++ b/crates/yuccatack_entry/src/balancer/records.rs
@@ -1,4 +1,4 @@
-//! What the balancer reads from the view.
+//! Conversion of records and minions in the view into inputs of the balancer.
 
 use yuccatack_admission::OrganisationLimits;
 use yuccatack_core::prelude::*;
@@ -7,7 +7,7 @@
 use yuccatack_requests::routing::MinionLoad;
 use yuccatack_view::{MinionEntry, MinionState, RecordKey, View};
 
-/// The limits of an organisation without a record.
+/// Limits of an organisation that has no record.
 pub const DEFAULT_LIMITS: OrganisationLimits =
     OrganisationLimits { rate_per_s: 1_000, concurrency_count: 1_000 };
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// The minions as the router takes them.
+/// Converts every minion in the view into an input of the router.
 pub fn minion_loads(view: &View) -> Vec<MinionLoad> {
     view.minions.values().map(|entry| minion_load(entry)).collect()
 }
@@ -37,7 +37,7 @@
     view.records.get(&key).map(|entry| &entry.record)
 }
 
-/// The record of an organisation.
+/// Returns the record of an organisation, if the view has one.
 pub fn organisation_record<'a>(
     view: &'a View,
     name: &OrganisationName,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The record of a service.
+/// Returns the record of a service, if the view has one.
 pub fn service_record<'a>(view: &'a View, name: &ServiceName) -> Option<&'a ServiceRecord> {
     match record(view, RecordKind::Service, name.as_str())? {
         Record::Service(record) => Some(record),
--- a/crates/yuccatack_entry/src/call.rs
+++ b/crates/yuccatack_entry/src/call.rs
@@ -1,4 +1,4 @@
-//! Carries out the dispatch of one request.
+//! Dispatch of one request: executes the commands of its state machine and feeds back events.
 
 use std::time::{Duration, Instant};
 
@@ -16,33 +16,33 @@
 use yuccatack_requests::routing::Feedback;
 use yuccatack_telemetry::metrics::RequestMetrics;
 
+use crate::agent_client::{self, AgentCallError};
 use crate::balancer::{BalancerMessage, ChooseRequest};
-use crate::link::{self, LinkError};
-use crate::links::Links;
+use crate::connection_pool::ConnectionPool;
 
-/// How long beyond its wait a call of `Resolve` may be silent.
+/// Time that a `Resolve` call may take in addition to its wait before it counts as broken.
 const RESOLVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What every call needs.
+/// State that the calls of all requests share.
 #[derive(Clone, Debug)]
 pub struct CallContext {
-    /// This entry.
+    /// Name of this entry.
     pub node: NodeName,
-    /// Chooses minions.
+    /// Sender to the balancer, which admits requests and chooses minions.
     pub balancer: mpsc::Sender<BalancerMessage>,
-    /// Connections to agents.
-    pub links: Links,
-    /// Claims of non-idempotent keys.
+    /// Pool of connections to agents.
+    pub connections: ConnectionPool,
+    /// Claims idempotency keys at the control leader.
     pub claims: ClaimClient,
-    /// Times and bounds.
+    /// Timeouts and limits of dispatch.
     pub settings: DispatchSettings,
-    /// The largest answer.
+    /// Maximum size of the body of a response.
     pub body_limit_bytes: u64,
-    /// Counts retries.
+    /// Metrics of requests, for the count of retries.
     pub metrics: RequestMetrics,
 }
 
-/// A minion that was chosen and whose end the balancer has not been told.
+/// A chosen minion for which the balancer has not received feedback yet.
 struct Reservation {
     attempt: AttemptId,
     target: Target,
@@ -68,7 +68,7 @@
     TimestampMs::new(u64::try_from(milliseconds).unwrap_or(u64::MAX))
 }
 
-/// Takes a request through its organisation's limits to its outcome.
+/// Admits a request, dispatches it and returns its outcome.
 pub async fn run_call(
     context: CallContext,
     content: RequestContent,
@@ -82,14 +82,14 @@
     match admitted.await {
         Ok(Ok(())) => {}
         Ok(Err(not_run)) => return not_run.into(),
-        Err(_) => return entry_ends().into(),
+        Err(_) => return entry_shutting_down().into(),
     }
     let outcome = run_dispatch(context, content, key, deadline).await;
     let _ = balancer.send(BalancerMessage::Release(organisation)).await;
     outcome
 }
 
-fn entry_ends() -> NotRun {
+fn entry_shutting_down() -> NotRun {
     NotRun::retryable(NotRunReason::ShuttingDown, 1_000, "the entry ends")
 }
 
@@ -99,7 +99,7 @@
     key: Option<IdempotencyKey>,
     deadline: Duration,
 ) -> Outcome {
-    // A request has few events at a time; the state machine waits for each command's event.
+    // Few events are pending at a time, because the state machine waits for each command's event.
     let (events, mut receiver) = mpsc::channel(64);
     let dispatch = Dispatch::new(
         context.settings,
@@ -122,16 +122,16 @@
         attempt_count: 0,
     };
     let commands = call.dispatch.start(call.now());
-    call.carry_out(commands);
+    call.run_commands(commands);
     loop {
         if let Some(outcome) = call.outcome.take() {
             call.release_all();
             return outcome;
         }
         let event = call.next_event(&mut receiver).await;
-        call.observe(&event);
+        call.track_reservations(&event);
         let commands = call.dispatch.handle(event, call.now());
-        call.carry_out(commands);
+        call.run_commands(commands);
     }
 }
 
@@ -171,14 +171,14 @@
         let timer = Duration::from_millis(self.dispatch.next_timer().get());
         let at = tokio::time::Instant::from_std(self.started + timer);
         tokio::select! {
-            // This call holds a sender, so that the channel stays open.
+            // The channel stays open, because this call holds a sender.
             event = receiver.recv() => event.unwrap_or(DispatchEvent::Timer),
             () = tokio::time::sleep_until(at) => DispatchEvent::Timer,
         }
     }
 
-    /// Tells the balancer about ended attempts.
-    fn observe(&mut self, event: &DispatchEvent) {
+    /// Tracks chosen minions and sends the balancer feedback about resolved attempts.
+    fn track_reservations(&mut self, event: &DispatchEvent) {
         match event {
             DispatchEvent::Chosen(Ok((attempt, target))) => self.reservations.push(Reservation {
                 attempt: *attempt,
@@ -186,14 +186,17 @@
                 since: Instant::now(),
             }),
             DispatchEvent::Resolved(attempt, resolution) => {
-                let position = self.reservations.iter().position(|held| held.attempt == *attempt);
+                let position = self
+                    .reservations
+                    .iter()
+                    .position(|reservation| reservation.attempt == *attempt);
                 let Some(position) = position else {
                     return;
                 };
                 let since = self.reservations[position].since;
                 if let Some(feedback) = feedback(resolution, since) {
-                    let held = self.reservations.swap_remove(position);
-                    self.tell_balancer(held.target, feedback);
+                    let reservation = self.reservations.swap_remove(position);
+                    self.send_feedback(reservation.target, feedback);
                 }
             }
             DispatchEvent::Chosen(Err(_))
@@ -204,20 +207,20 @@
         }
     }
 
-    fn tell_balancer(&self, target: Target, feedback: Feedback) {
+    fn send_feedback(&self, target: Target, feedback: Feedback) {
         let balancer = self.context.balancer.clone();
         tokio::spawn(async move {
-            let _ = balancer.send(BalancerMessage::Finished(target, feedback)).await;
+            let _ = balancer.send(BalancerMessage::RecordFeedback(target, feedback)).await;
         });
     }
 
     fn release_all(&mut self) {
-        for held in std::mem::take(&mut self.reservations) {
-            self.tell_balancer(held.target, Feedback::Neutral);
+        for reservation in std::mem::take(&mut self.reservations) {
+            self.send_feedback(reservation.target, Feedback::Neutral);
         }
     }
 
-    fn carry_out(&mut self, commands: Vec<DispatchCommand>) {
+    fn run_commands(&mut self, commands: Vec<DispatchCommand>) {
         for command in commands {
             match command {
                 DispatchCommand::Choose(kind, excluded) => self.choose(kind, excluded),
@@ -245,13 +248,13 @@
         let events = self.events.clone();
         tokio::spawn(async move {
             let _ = balancer.send(BalancerMessage::Choose(request)).await;
-            let choice = choice.await.unwrap_or_else(|_| Err(entry_ends()));
+            let choice = choice.await.unwrap_or_else(|_| Err(entry_shutting_down()));
             let reserved = choice.as_ref().ok().cloned();
             let chosen = choice.map(|target| (attempt_id(wall_clock(), rand::random()), target));
             if events.send(DispatchEvent::Chosen(chosen)).await.is_err()
                 && let Some(target) = reserved
             {
-                let unused = BalancerMessage::Finished(target, Feedback::Neutral);
+                let unused = BalancerMessage::RecordFeedback(target, Feedback::Neutral);
                 let _ = balancer.send(unused).await;
             }
         });
@@ -301,17 +304,18 @@
             self.context.metrics.count_retry(&self.content.service);
         }
         self.attempt_count += 1;
-        let links = self.context.links.clone();
+        let connections = self.context.connections.clone();
         let content = self.content.clone();
         let remaining = self.remaining();
         let limit = self.context.body_limit_bytes;
         let events = self.events.clone();
         tokio::spawn(async move {
-            let event = match links.get(claimed.address).await {
+            let event = match connections.get(claimed.address).await {
                 Err(error) => not_connected(claimed.attempt, &error),
                 Ok(channel) => {
-                    let ended = link::execute(channel, &claimed, &content, remaining, limit).await;
-                    execute_event(&links, &claimed, ended).await
+                    let result =
+                        agent_client::execute(channel, &claimed, &content, remaining, limit).await;
+                    execute_event(&connections, &claimed, result).await
                 }
             };
             let _ = events.send(event).await;
@@ -319,20 +323,23 @@
     }
 
     fn resolve(&self, claimed: ClaimedAttempt) {
-        let links = self.context.links.clone();
+        let connections = self.context.connections.clone();
         let organisation = self.content.organisation.clone();
         let wait = Duration::from(self.context.settings.resolve_wait).min(self.remaining());
         let limit = self.context.body_limit_bytes;
         let events = self.events.clone();
         tokio::spawn(async move {
-            let ask = async {
-                let channel = links.open(claimed.address).await?;
-                link::resolve(channel, &claimed, &organisation, wait, limit).await
+            let query = async {
+                let channel = connections.open(claimed.address).await?;
+                agent_client::resolve(channel, &claimed, &organisation, wait, limit).await
             };
-            let event = match tokio::time::timeout(wait + RESOLVE_MARGIN, ask).await {
+            let event = match tokio::time::timeout(wait + RESOLVE_MARGIN, query).await {
                 Ok(Ok(resolution)) => DispatchEvent::Resolved(claimed.attempt, resolution),
                 Ok(Err(error)) => {
-                    log::debug!(event = "resolve_failed", attempt:% = claimed.attempt; "{error}");
+                    log::debug!(
+                        event = "resolve_failed", attempt:% = claimed.attempt;
+                        "cannot resolve the attempt: {error}"
+                    );
                     DispatchEvent::Broken(claimed.attempt)
                 }
                 Err(_) => DispatchEvent::Broken(claimed.attempt),
@@ -342,29 +349,32 @@
     }
 }
 
-fn not_connected(attempt: AttemptId, error: &LinkError) -> DispatchEvent {
+fn not_connected(attempt: AttemptId, error: &AgentCallError) -> DispatchEvent {
     let not_run = NotRun::retryable(NotRunReason::AgentUnreachable, 1_000, &error.to_string());
     DispatchEvent::Resolved(attempt, Resolution::NotRun(not_run))
 }
 
 async fn execute_event(
-    links: &Links,
+    connections: &ConnectionPool,
     claimed: &ClaimedAttempt,
-    ended: Result<Resolution, LinkError>,
+    result: Result<Resolution, AgentCallError>,
 ) -> DispatchEvent {
-    match ended {
+    match result {
         Ok(resolution) => DispatchEvent::Resolved(claimed.attempt, resolution),
-        Err(error @ LinkError::Connect { .. }) => {
-            links.close(claimed.address).await;
+        Err(error @ AgentCallError::Connect { .. }) => {
+            connections.close(claimed.address).await;
             not_connected(claimed.attempt, &error)
         }
-        Err(LinkError::Refused { detail }) => {
+        Err(AgentCallError::Refused { detail }) => {
             let not_run = NotRun::permanent(NotRunReason::Invalid, &detail);
             DispatchEvent::Resolved(claimed.attempt, Resolution::NotRun(not_run))
         }
         Err(error) => {
-            log::debug!(event = "attempt_broken", attempt:% = claimed.attempt; "{error}");
-            links.close(claimed.address).await;
+            log::debug!(
+                event = "attempt_broken", attempt:% = claimed.attempt;
+                "{error}; closing the connection to the agent"
+            );
+            connections.close(claimed.address).await;
             DispatchEvent::Broken(claimed.attempt)
         }
     }
--- a/crates/yuccatack_entry/src/caller.rs
+++ b/crates/yuccatack_entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller sends, checked and decoded.
+//! Validation and decoding of the requests of callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use yuccatack_requests::prelude::*;
 use yuccatack_requests::wire::attempts::priority_class_from_name;
 
-/// The time that a request may take when neither its caller nor the service's record states one.
+/// Deadline of a request for which neither the caller nor the record of the service states one.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// The longest time that a caller may ask for.
+/// Longest deadline that a caller may request.
 const DEADLINE_LIMIT_MS: u64 = 10 * 60 * 1000;
 
-/// Headers that concern one connection or this system and are not passed on.
-const OWN_HEADERS: [&str; 11] = [
+/// Headers that apply to one connection only and are not forwarded to minions.
+const CONNECTION_HEADERS: [&str; 11] = [
     "connection",
     "content-length",
     "expect",
@@ -30,14 +30,14 @@
     "upgrade",
 ];
 
-/// A decoded request whose body has not been read.
+/// A decoded request head; the body has not been read yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRequest {
-    /// The request; its body is still empty.
+    /// Content of the request, with an empty body.
     pub content: RequestContent,
-    /// The time that it may take.
+    /// Deadline relative to the arrival, if the caller stated one.
     pub deadline: Option<Duration>,
-    /// The key of a non-idempotent request.
+    /// Idempotency key; absent for an idempotent request.
     pub key: Option<IdempotencyKey>,
 }
 
@@ -45,8 +45,8 @@
     NotRun::permanent(NotRunReason::Invalid, detail)
 }
 
-/// The text of a header that may be given once.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, NotRun> {
+/// Returns the value of a header that may occur at most once.
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, NotRun> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
@@ -59,7 +59,7 @@
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, NotRun> {
-    let Some(text) = text(headers, "yuccatack-deadline-ms")? else {
+    let Some(text) = header_text(headers, "yuccatack-deadline-ms")? else {
         return Ok(None);
     };
     let milliseconds: Option<u64> = text.parse().ok();
@@ -70,16 +70,16 @@
 }
 
 fn idempotent(headers: &HeaderMap) -> Result<bool, NotRun> {
-    match text(headers, "yuccatack-idempotent")? {
+    match header_text(headers, "yuccatack-idempotent")? {
         Some("true") => Ok(true),
-        // A request is taken as harmful to repeat unless the caller says otherwise.
+        // Running a request twice may do harm unless the caller marks it as idempotent.
         Some("false") | None => Ok(false),
         Some(_) => Err(invalid("yuccatack-idempotent must be `true` or `false`")),
     }
 }
 
 fn key(headers: &HeaderMap, idempotent: bool) -> Result<Option<IdempotencyKey>, NotRun> {
-    match text(headers, "yuccatack-key")? {
+    match header_text(headers, "yuccatack-key")? {
         Some(text) => {
             IdempotencyKey::new(text).map(Some).map_err(|error| invalid(&error.to_string()))
         }
@@ -89,18 +89,18 @@
 }
 
 fn class(headers: &HeaderMap) -> Result<PriorityClass, NotRun> {
-    let Some(word) = text(headers, "yuccatack-class")? else {
+    let Some(name) = header_text(headers, "yuccatack-class")? else {
         return Ok(PriorityClass::default());
     };
-    priority_class_from_name(word)
+    priority_class_from_name(name)
         .map_err(|_| invalid("yuccatack-class must be `urgent`, `standard` or `batch`"))
 }
 
-fn passed_on(headers: &HeaderMap) -> Vec<Header> {
-    let own = |name: &str| OWN_HEADERS.contains(&name) || name.starts_with("yuccatack-");
+fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
+    let dropped = |name: &str| CONNECTION_HEADERS.contains(&name) || name.starts_with("yuccatack-");
     headers
         .iter()
-        .filter(|(name, _)| !own(name.as_str()))
+        .filter(|(name, _)| !dropped(name.as_str()))
         .map(|(name, value)| Header {
             name: Arc::from(name.as_str()),
             value: Bytes::copy_from_slice(value.as_bytes()),
@@ -116,7 +116,7 @@
         minion_path: &str,
         headers: &HeaderMap,
     ) -> Result<Self, NotRun> {
-        let organisation = text(headers, "yuccatack-organisation")?
+        let organisation = header_text(headers, "yuccatack-organisation")?
             .ok_or_else(|| invalid("the header yuccatack-organisation is missing"))?;
         let organisation =
             OrganisationName::new(organisation).map_err(|error| invalid(&error.to_string()))?;
@@ -127,7 +127,7 @@
             class: class(headers)?,
             method: Arc::from(method),
             path: Arc::from(minion_path),
-            headers: passed_on(headers),
+            headers: forwarded_headers(headers),
             idempotent,
             body: Bytes::new(),
         };
@@ -135,7 +135,7 @@
         Ok(Self { content, deadline: deadline(headers)?, key })
     }
 
-    /// The time that the request may take, with the service's default.
+    /// Returns the deadline of the caller, or else the default of the service or of the entry.
     pub fn deadline_or(&self, service_default_ms: Option<u64>) -> Duration {
         let default = Duration::from_millis(service_default_ms.unwrap_or(DEFAULT_DEADLINE_MS));
         self.deadline.unwrap_or(default)
--- a/crates/yuccatack_entry/src/claims.rs
+++ b/crates/yuccatack_entry/src/claims.rs
@@ -1,20 +1,20 @@
-//! Passes claims of caller keys to the control leader.
+//! Forwarding of claims of idempotency keys to the control leader.
 
 use tokio::sync::mpsc;
 use yuccatack_control_client::{ControlClient, ControlError};
 use yuccatack_requests::claims::{ClaimCallError, ClaimCommand, ClaimMessage, ClaimOutcome};
 use yuccatack_requests::wire::claims::ClaimCall;
 
-/// When a caller may come back after no control replica could be reached; an election is shorter.
+/// Delay before a caller may retry after no control replica was reachable; an election is shorter.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Sends each claim in a task of its own, so that a slow one does not hold up the others.
+/// Forwards each claim in a separate task, so that a slow claim does not delay the others.
 pub async fn forward_claims(mut messages: mpsc::Receiver<ClaimMessage>, control: ControlClient) {
     while let Some(message) = messages.recv().await {
         let control = control.clone();
         tokio::spawn(async move {
             let result = call(&control, &message.command).await;
-            // The request may have passed its deadline meanwhile.
+            // The receiver is gone if the deadline of the request has passed.
             let _ = message.reply.send(result);
         });
     }
--- a/crates/yuccatack_entry/src/error.rs
+++ b/crates/yuccatack_entry/src/error.rs
@@ -4,33 +4,33 @@
 
 use snafu::Snafu;
 
-/// Why the entry ended otherwise than by a completed drain.
+/// An error that ends the entry before its drain has completed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EntryError {
-    /// The listening address is not available.
+    /// The listening address cannot be bound.
     #[snafu(display(
         "cannot listen on {address}: {source}; free the address or change `listen_address`"
     ))]
     Listen {
-        /// The address.
+        /// Address from the setting `listen_address`.
         address: SocketAddr,
-        /// The cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The metrics are not served.
+    /// The metrics server did not start.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Why.
+        /// Error of the metrics server, which names the address.
         source: yuccatack_telemetry::MetricsServerError,
     },
-    /// The process was ended before the drain completed.
+    /// The drain was aborted while requests were in flight.
     #[snafu(display(
-        "ended during the drain with {request_count} requests in flight; their callers must take the \
-         outcome as unknown; raise `drain_limit_ms` if they only needed longer"
+        "ended during the drain with {request_count} requests in flight; their callers must take \
+         the outcome as unknown; raise `drain_limit_ms` if they only needed longer"
     ))]
     Aborted {
-        /// The requests that were left.
+        /// Number of requests that were in flight when the drain was aborted.
         request_count: u32,
     },
 }
--- a/crates/yuccatack_entry/src/lib.rs
+++ b/crates/yuccatack_entry/src/lib.rs
@@ -1,15 +1,15 @@
-//! The entry process: HTTP for callers and operators.
+//! The entry process, which serves requests of callers and operators over HTTP.
 //!
-//! Each caller's connection is a task; each request runs one dispatch state machine. One task
-//! owns the choice of minions, another the connections to agents.
+//! Each caller connection is a task, and each request runs one dispatch state machine. One task
+//! owns admission and load balancing over minions, another one the connections to agents.
 
+mod agent_client;
 mod balancer;
 mod call;
 mod caller;
 mod claims;
+mod connection_pool;
 mod error;
-mod link;
-mod links;
 mod observe;
 mod operators;
 mod process;
@@ -18,6 +18,6 @@
 
 pub use balancer::BalancerSettings;
 pub use error::EntryError;
-pub use operators::{OperatorAnswer, OperatorRoute};
+pub use operators::{OperatorResponse, OperatorRoute};
 pub use process::{EntryInputs, run, serve};
 pub use routes::Route;
--- a/crates/yuccatack_entry/src/observe.rs
+++ b/crates/yuccatack_entry/src/observe.rs
@@ -1,4 +1,4 @@
-//! Keeps an entry's metrics, objectives and readiness in line with its view.
+//! Updates of the metrics, objectives and readiness of an entry from its view.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 
 const OBSERVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Observes the view until the process ends.
+/// Publishes the age and revision of the view, objectives and readiness until the process ends.
 pub async fn observe_view(view: ViewHandle, telemetry: Telemetry, shutdown: Shutdown) {
     let mut interval = tokio::time::interval(OBSERVE_INTERVAL);
     let mut objectives_revision = None;
@@ -51,7 +51,8 @@
     telemetry.metrics.objectives.set_objectives(&objectives, &organisations);
 }
 
-/// Counts a request. Names that no record has are left out, so that callers cannot add series.
+/// Records the outcome and latency of a request. Requests without labels are skipped, so that
+/// callers cannot create time series with names that have no record.
 pub fn observe_request(
     telemetry: &Telemetry,
     labels: Option<&RequestLabels>,
@@ -81,7 +82,7 @@
     }
 }
 
-/// What a request is counted under, if its organisation and its service have records.
+/// Returns the metric labels of a request, if its organisation and its service have records.
 pub fn request_labels(view: &View, content: &RequestContent) -> Option<RequestLabels> {
     let organisation = RecordName::new(content.organisation.as_str()).ok()?;
     let service = RecordName::new(content.service.as_str()).ok()?;
--- a/crates/yuccatack_entry/src/operators.rs
+++ b/crates/yuccatack_entry/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' part of the HTTP interface: passes changes and questions to the control leader.
+//! The HTTP interface for operators, which forwards changes and queries to the control leader.
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
@@ -10,7 +10,7 @@
 use yuccatack_records::{Change, ChangeOutcome, Operation, RecordKey, RecordKind, RefusalKind};
 use yuccatack_telemetry::Telemetry;
 
-/// What an operator asks for.
+/// A call of an operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OperatorRoute {
     /// `POST /v1/changes`
@@ -30,8 +30,8 @@
 }
 
 impl OperatorRoute {
-    /// Finds the operator's route of a path.
-    pub fn of(path: &str) -> Option<Self> {
+    /// Parses the path of a call; `None` if it is not a path for operators.
+    pub fn from_path(path: &str) -> Option<Self> {
         let segments: Vec<&str> = path.strip_prefix("/v1/")?.split('/').collect();
         match segments.as_slice() {
             ["changes"] => Some(Self::SubmitChange),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The method that the route takes.
+    /// Returns the only HTTP method that the route accepts.
     pub fn method(&self) -> Method {
         match self {
             Self::SubmitChange => Method::POST,
@@ -62,16 +62,16 @@
     }
 }
 
-/// An answer to an operator: a status and a JSON body.
+/// A response to an operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OperatorAnswer {
-    /// The HTTP status.
+pub struct OperatorResponse {
+    /// HTTP status code.
     pub status: StatusCode,
-    /// The JSON body.
+    /// JSON document of the body.
     pub body_json: Bytes,
 }
 
-/// The body of `POST /v1/changes`; the record is kept byte for byte.
+/// The body of `POST /v1/changes`. The record stays unparsed and is forwarded byte for byte.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeBody<'a> {
@@ -85,7 +85,7 @@
 
 #[derive(Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-enum ChangeAnswer {
+enum ChangeOutcomeBody {
     Accepted {
         generation: u64,
         revision: u64,
@@ -101,7 +101,7 @@
 #[derive(Serialize)]
 struct ChangeStatus {
     known: bool,
-    answer: Option<ChangeAnswer>,
+    answer: Option<ChangeOutcomeBody>,
     in_force_everywhere: bool,
     missing_nodes: Vec<String>,
 }
@@ -120,48 +120,48 @@
     records: Vec<StoredRecord>,
 }
 
-/// The part of a job's explanation that the entry reads.
+/// The field of a job explanation that determines the HTTP status.
 #[derive(Deserialize)]
 struct Explanation {
     known: bool,
 }
 
 #[derive(Serialize)]
-struct Problem {
+struct ErrorBody {
     kind: &'static str,
     message: String,
 }
 
-/// Answers an operator with the help of the control leader.
+/// Handles the call of an operator, by a call to the control leader where needed.
 pub async fn respond(
     route: OperatorRoute,
     body: &[u8],
     control: &ControlClient,
     telemetry: &Telemetry,
-) -> OperatorAnswer {
-    let answer = match route {
+) -> OperatorResponse {
+    let result = match route {
         OperatorRoute::SubmitChange => submit_change(body, control).await,
         OperatorRoute::Change(change_id) => read_change(&change_id, control).await,
         OperatorRoute::Records(kind) => list_records(kind, control).await,
         OperatorRoute::Record(key) => read_record(&key, control).await,
-        OperatorRoute::Status => control.read_status().await.map(document),
-        OperatorRoute::Job(name) => control.explain_job(&name).await.map(explanation),
+        OperatorRoute::Status => control.read_status().await.map(document_response),
+        OperatorRoute::Job(name) => control.explain_job(&name).await.map(explanation_response),
         OperatorRoute::BurnReport => {
-            Ok(json(StatusCode::OK, telemetry.burn_reports.borrow().as_ref()))
+            Ok(json_response(StatusCode::OK, telemetry.burn_reports.borrow().as_ref()))
         }
     };
-    answer.unwrap_or_else(|error| failure(&error))
+    result.unwrap_or_else(|error| control_error_response(&error))
 }
 
-/// An answer that refuses the call itself.
-pub fn problem(status: StatusCode, kind: &'static str, message: String) -> OperatorAnswer {
-    json(status, &Problem { kind, message })
+/// Builds an error response with a stable kind and a message for the operator.
+pub fn error_response(status: StatusCode, kind: &'static str, message: String) -> OperatorResponse {
+    json_response(status, &ErrorBody { kind, message })
 }
 
 async fn submit_change(
     body: &[u8],
     control: &ControlClient,
-) -> Result<OperatorAnswer, ControlError> {
+) -> Result<OperatorResponse, ControlError> {
     let body: ChangeBody<'_> = match serde_json::from_slice(body) {
         Ok(body) => body,
         Err(error) => {
@@ -169,7 +169,7 @@
                 "the change is not understood: {error}; send change_id, operation, \
                  replaces_generation and record"
             );
-            return Ok(problem(StatusCode::BAD_REQUEST, "invalid_change", message));
+            return Ok(error_response(StatusCode::BAD_REQUEST, "invalid_change", message));
         }
     };
     let change = Change {
@@ -186,82 +186,86 @@
         }
         ChangeOutcome::Refused(_) => StatusCode::UNPROCESSABLE_ENTITY,
     };
-    Ok(json(status, &ChangeAnswer::from(outcome)))
+    Ok(json_response(status, &ChangeOutcomeBody::from(outcome)))
 }
 
 async fn read_change(
     change_id: &ChangeId,
     control: &ControlClient,
-) -> Result<OperatorAnswer, ControlError> {
+) -> Result<OperatorResponse, ControlError> {
     let response = control.read_change(change_id).await?;
     let answer = response.answer.and_then(|answer| ChangeOutcome::try_from(answer).ok());
     let status = ChangeStatus {
         known: response.known,
-        answer: answer.map(ChangeAnswer::from),
+        answer: answer.map(ChangeOutcomeBody::from),
         in_force_everywhere: response.in_force_everywhere,
         missing_nodes: response.missing_nodes,
     };
-    Ok(json(StatusCode::OK, &status))
+    Ok(json_response(StatusCode::OK, &status))
 }
 
 async fn list_records(
     kind: RecordKind,
     control: &ControlClient,
-) -> Result<OperatorAnswer, ControlError> {
+) -> Result<OperatorResponse, ControlError> {
     let records = control.list_records(kind).await?;
     let records = records.into_iter().filter_map(StoredRecord::from_wire).collect();
-    Ok(json(StatusCode::OK, &RecordList { records }))
+    Ok(json_response(StatusCode::OK, &RecordList { records }))
 }
 
 async fn read_record(
     key: &RecordKey,
     control: &ControlClient,
-) -> Result<OperatorAnswer, ControlError> {
+) -> Result<OperatorResponse, ControlError> {
     let record = control.read_record(key).await?;
     Ok(match record.and_then(StoredRecord::from_wire) {
-        Some(record) => json(StatusCode::OK, &record),
+        Some(record) => json_response(StatusCode::OK, &record),
         None => {
             let message = format!("no record {} {} is in force", key.kind.as_str(), key.name);
-            problem(StatusCode::NOT_FOUND, "not_found", message)
+            error_response(StatusCode::NOT_FOUND, "not_found", message)
         }
     })
 }
 
-fn document(response: wire::DocumentResponse) -> OperatorAnswer {
-    OperatorAnswer { status: StatusCode::OK, body_json: response.document_json }
+fn document_response(response: wire::DocumentResponse) -> OperatorResponse {
+    OperatorResponse { status: StatusCode::OK, body_json: response.document_json }
 }
 
-fn explanation(response: wire::DocumentResponse) -> OperatorAnswer {
+fn explanation_response(response: wire::DocumentResponse) -> OperatorResponse {
     let known = serde_json::from_slice(&response.document_json)
         .map_or(true, |explanation: Explanation| explanation.known);
     let status = if known { StatusCode::OK } else { StatusCode::NOT_FOUND };
-    OperatorAnswer { status, body_json: response.document_json }
+    OperatorResponse { status, body_json: response.document_json }
 }
 
-fn failure(error: &ControlError) -> OperatorAnswer {
+fn control_error_response(error: &ControlError) -> OperatorResponse {
     let (status, kind) = match error {
         ControlError::NotSent { .. } => (StatusCode::SERVICE_UNAVAILABLE, "not_sent"),
         ControlError::AnswerLost { .. } => (StatusCode::GATEWAY_TIMEOUT, "answer_lost"),
         ControlError::Refused { .. } => (StatusCode::BAD_REQUEST, "refused"),
         ControlError::Unreadable { .. } => (StatusCode::BAD_GATEWAY, "unreadable"),
     };
-    problem(status, kind, error.to_string())
+    error_response(status, kind, error.to_string())
 }
 
-fn json<Body>(status: StatusCode, body: &Body) -> OperatorAnswer
+fn json_response<Body>(status: StatusCode, body: &Body) -> OperatorResponse
 where
     Body: Serialize,
 {
     match serde_json::to_vec(body) {
-        Ok(body_json) => OperatorAnswer { status, body_json: body_json.into() },
+        Ok(body_json) => OperatorResponse { status, body_json: body_json.into() },
         Err(error) => {
-            log::error!(event = "answer_encoding_failed"; "{error}; report this as a defect");
-            OperatorAnswer { status: StatusCode::INTERNAL_SERVER_ERROR, body_json: "{}".into() }
+            log::error!(
+                event = "answer_encoding_failed";
+                "cannot encode the response to an operator as JSON: {error}; \
+                 sending an empty object; report this as a defect"
+            );
+            OperatorResponse { status: StatusCode::INTERNAL_SERVER_ERROR, body_json: "{}".into() }
         }
     }
 }
 
-impl From<ChangeOutcome> for ChangeAnswer {
+impl From<ChangeOutcome> for ChangeOutcomeBody {
     fn from(outcome: ChangeOutcome) -> Self {
         match outcome {
             ChangeOutcome::Accepted { generation, revision } => {
@@ -278,7 +282,8 @@
 }
 
 impl StoredRecord {
-    /// `None` if the document is not JSON, which the control leader never stores.
+    /// Converts a record from the control leader. Returns `None` if its document is not JSON, which
+    /// the control leader never stores.
     fn from_wire(record: wire::StoredRecord) -> Option<Self> {
         let text = String::from_utf8(record.document_json.to_vec()).ok()?;
         Some(Self {
--- a/crates/yuccatack_entry/src/process.rs
+++ b/crates/yuccatack_entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The entry process: start, drain and end.
+//! Start, drain and shutdown of the entry process.
 
 use std::io;
 use std::sync::Arc;
@@ -20,37 +20,37 @@
 use crate::balancer::{Balancer, BalancerMessage, BalancerSettings};
 use crate::call::CallContext;
 use crate::claims::forward_claims;
+use crate::connection_pool::ConnectionPool;
 use crate::error::{EntryError, ListenSnafu, MetricsSnafu};
-use crate::links::Links;
 use crate::observe::observe_view;
 use crate::server::{ServerContext, serve_connection};
 
-/// The callers' connections that are open at once; each costs a task and a buffer.
+/// Maximum number of open connections of callers. Each takes a task and a buffer.
 const CONNECTION_COUNT_LIMIT: u32 = 10_000;
 
-/// What an entry is connected to.
+/// Listener, handles and settings that an entry runs on.
 #[derive(Debug)]
 pub struct EntryInputs {
-    /// Where callers connect.
+    /// Listener for callers and operators.
     pub listener: TcpListener,
-    /// The node's view.
+    /// Local copy of the records and minions, updated by the control leader.
     pub view: ViewHandle,
-    /// Claims of non-idempotent keys.
+    /// Claims idempotency keys at the control leader.
     pub claims: ClaimClient,
-    /// The control leader, for operators.
+    /// Forwards the calls of operators to the control leader.
     pub control: ControlClient,
-    /// Metrics and readiness.
+    /// Metrics, readiness and burn reports.
     pub telemetry: Telemetry,
-    /// Times and bounds of dispatching.
+    /// Timeouts and limits of dispatch.
     pub dispatch: DispatchSettings,
-    /// Times and bounds of the choice of minions.
+    /// Policy, timeouts and limits of load balancing over minions.
     pub routing: RoutingSettings,
-    /// Bounds of admission.
+    /// Limits of queues and of the retry budget.
     pub admission: BalancerSettings,
 }
 
-/// How long a call to the control leader may take; it covers an election.
-const CONTROL_CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a call to the control leader; longer than an election.
+const CONTROL_CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs an entry until it has drained.
 pub async fn run(settings: EntrySettings, shutdown: Shutdown) -> Result<(), EntryError> {
@@ -70,7 +70,7 @@
     let observer = tokio::spawn(observe_view(view.clone(), telemetry.clone(), shutdown.clone()));
     let control = ControlClient::spawn(ControlClientConfig {
         control_addresses: settings.control_addresses.clone(),
-        call_deadline: CONTROL_CALL_LIMIT,
+        call_deadline: CONTROL_CALL_TIMEOUT,
     });
     let (claims, claim_messages) = claim_channel();
     tokio::spawn(forward_claims(claim_messages, control.clone()));
@@ -101,7 +101,7 @@
     let call = CallContext {
         node: settings.node.clone(),
         balancer: balancer_sender.clone(),
-        links: Links::spawn(),
+        connections: ConnectionPool::spawn(),
         claims: inputs.claims,
         settings: inputs.dispatch,
         body_limit_bytes: settings.body_limit_bytes,
@@ -109,34 +109,41 @@
     };
     let context =
         ServerContext::new(call, inputs.view, inputs.control, inputs.telemetry, &settings);
-    // Every connection holds a permit; all are free once the last connection has closed.
+    // Each connection holds a permit, so that all permits are free once the last one has closed.
     let connections = Arc::new(Semaphore::new(CONNECTION_COUNT_LIMIT as usize));
     accept(&inputs.listener, &context, &connections, &mut shutdown).await;
     drop(inputs.listener);
-    log::info!(event = "entry_draining"; "finishing requests");
+    log::info!(
+        event = "entry_draining";
+        "entry is draining; new connections are refused, requests in flight complete"
+    );
     let result = tokio::select! {
         _ = connections.acquire_many(CONNECTION_COUNT_LIMIT) => Ok(()),
         () = shutdown.wait_for(ShutdownPhase::Aborting) => {
-            Err(EntryError::Aborted { request_count: report_left(&balancer_sender).await })
+            Err(EntryError::Aborted { request_count: log_unfinished(&balancer_sender).await })
         }
     };
     balancer_task.abort();
     result
 }
 
-/// Logs the requests that the process leaves unfinished, and counts them.
-async fn report_left(balancer: &mpsc::Sender<BalancerMessage>) -> u32 {
+/// Logs the requests in flight of each organisation and returns their total.
+async fn log_unfinished(balancer: &mpsc::Sender<BalancerMessage>) -> u32 {
     let (reply, in_flight) = oneshot::channel();
-    // An error means that the balancer has already ended, with nothing in flight.
+    // Sending fails only if the balancer has ended, and then no request is in flight.
     let _ = balancer.send(BalancerMessage::ListInFlight(reply)).await;
     let in_flight = in_flight.await.unwrap_or_default();
     for (organisation, requests) in &in_flight {
-        log::warn!(event = "requests_left", organisation:%, requests; "requests were left");
+        log::warn!(
+            event = "requests_left", organisation:%, requests;
+            "shutdown aborted {requests} requests of organisation {organisation}; \
+             their outcome is unknown"
+        );
     }
     in_flight.iter().map(|(_, count)| count).sum()
 }
 
-/// Accepts the next caller once there is room for it.
+/// Accepts the next connection once fewer than `CONNECTION_COUNT_LIMIT` are open.
 async fn accept_one(
     listener: &TcpListener,
     connections: &Arc<Semaphore>,
@@ -146,7 +153,7 @@
     Ok((stream, permit))
 }
 
-/// Accepts callers until the shutdown starts.
+/// Accepts connections until the drain starts.
 async fn accept(
     listener: &TcpListener,
     context: &ServerContext,
@@ -165,8 +172,12 @@
                 tokio::spawn(served);
             }
             Err(error) => {
-                // For example too many open files; the pause keeps the loop from spinning.
-                log::warn!(event = "accept_failed"; "{error}");
+                // The error may persist, for example at too many open files; the pause avoids a
+                // busy loop.
+                log::warn!(
+                    event = "accept_failed";
+                    "cannot accept a connection: {error}; retrying in 50 ms"
+                );
                 tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             }
         }
--- a/crates/yuccatack_entry/src/routes.rs
+++ b/crates/yuccatack_entry/src/routes.rs
@@ -1,33 +1,33 @@
-//! The one place that maps paths to what the entry serves.
+//! Mapping of HTTP paths to the routes of the entry.
 
 use yuccatack_core::prelude::*;
 
 use crate::operators::OperatorRoute;
 
-/// What a path stands for.
+/// The target of an HTTP path.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Route {
     /// A caller's request to a service: `/v1/requests/{service}` with an optional path for the
     /// minion after it.
     Request {
-        /// The service.
+        /// Service whose minions run the request.
         service: ServiceName,
-        /// The path for the minion, with its query.
+        /// Path that is forwarded to the minion, with the query; `/` if the caller gave none.
         minion_path: String,
     },
-    /// An operator's call.
+    /// A call of an operator.
     Operator(OperatorRoute),
-    /// Nothing is served here.
+    /// A path that the entry does not serve.
     NotFound,
 }
 
 const REQUESTS_PREFIX: &str = "/v1/requests/";
 
 impl Route {
-    /// Finds the route of a path and its query.
-    pub fn of(path: &str, query: Option<&str>) -> Self {
+    /// Parses a path and its query.
+    pub fn from_path(path: &str, query: Option<&str>) -> Self {
         let Some(rest) = path.strip_prefix(REQUESTS_PREFIX) else {
-            return OperatorRoute::of(path).map_or(Self::NotFound, Self::Operator);
+            return OperatorRoute::from_path(path).map_or(Self::NotFound, Self::Operator);
         };
         let (service, minion_path) = match rest.find('/') {
             Some(position) => rest.split_at(position),
--- a/crates/yuccatack_entry/src/server.rs
+++ b/crates/yuccatack_entry/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for callers.
+//! The HTTP server for callers and operators.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -29,17 +29,17 @@
 use crate::call::{CallContext, run_call};
 use crate::caller::CallerRequest;
 use crate::observe::{observe_request, request_labels};
-use crate::operators::{self, OperatorAnswer, OperatorRoute, problem};
+use crate::operators::{self, OperatorResponse, OperatorRoute, error_response};
 use crate::routes::Route;
 
-/// The largest head of a request.
+/// Maximum size of the head of a request.
 const HEAD_LIMIT_BYTES: usize = 32 * 1024;
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 const HEADER_COUNT_LIMIT: usize = 100;
 
-/// The largest bodies that fit into memory at once.
+/// Number of bodies of the maximum size that the body memory holds at once.
 const LARGEST_BODY_COUNT: u64 = 32;
-/// Memory for bodies is set aside in blocks of this size.
+/// Unit in which body memory is reserved.
 const MEMORY_BLOCK_BYTES: usize = 1024;
 
 fn body_memory_blocks(body_limit_bytes: u64) -> usize {
@@ -48,27 +48,27 @@
     blocks.min(Semaphore::MAX_PERMITS)
 }
 
-/// What every caller's connection needs.
+/// State that all connections share.
 #[derive(Clone, Debug)]
 pub struct ServerContext {
-    /// For requests.
+    /// Dispatch of requests to minions.
     pub call: CallContext,
-    /// The node's view.
+    /// Local copy of the records and minions.
     pub view: ViewHandle,
-    /// For operators.
+    /// Client of the control leader, for the calls of operators.
     pub control: ControlClient,
-    /// For metrics.
+    /// Metrics of requests, and the burn reports.
     pub telemetry: Telemetry,
-    /// The largest request body.
+    /// Maximum size of the body of a request.
     pub body_limit_bytes: u64,
-    /// How long a caller may take to send its request.
-    pub receive_limit: Duration,
-    /// The memory for all bodies together, in blocks.
+    /// Timeout for receiving the head of a request, and again for its body.
+    pub receive_timeout: Duration,
+    /// Memory for the bodies of all requests in flight, in blocks of `MEMORY_BLOCK_BYTES`.
     pub body_memory: Arc<Semaphore>,
 }
 
 impl ServerContext {
-    /// Takes the bounds from the settings.
+    /// Creates the shared state with the limits from the settings.
     pub fn new(
         call: CallContext,
         view: ViewHandle,
@@ -82,27 +82,28 @@
             control,
             telemetry,
             body_limit_bytes: settings.body_limit_bytes,
-            receive_limit: Duration::from_millis(settings.receive_limit_ms),
+            receive_timeout: Duration::from_millis(settings.receive_limit_ms),
             body_memory: Arc::new(Semaphore::new(body_memory_blocks(settings.body_limit_bytes))),
         }
     }
 }
 
-/// Serves one caller's connection until it closes or the server drains. `permit` is held as long.
+/// Serves one connection until it closes or the drain has completed its last request, and holds
+/// `permit` until then.
 pub async fn serve_connection(
     context: ServerContext,
     stream: TcpStream,
     mut shutdown: Shutdown,
     permit: OwnedSemaphorePermit,
 ) {
-    let receive_limit = context.receive_limit;
+    let receive_timeout = context.receive_timeout;
     let service = service_fn(move |request| {
         let context = context.clone();
         async move { Ok::<_, Infallible>(respond(context, request).await) }
     });
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(receive_limit)
+        .header_read_timeout(receive_timeout)
         .max_buf_size(HEAD_LIMIT_BYTES)
         .max_headers(HEADER_COUNT_LIMIT)
         .serve_connection(TokioIo::new(stream), service);
@@ -115,18 +116,21 @@
         ended = Some((&mut connection).await);
     }
     if let Some(Err(error)) = ended {
-        log::debug!(event = "caller_connection_ended"; "{error}");
+        log::debug!(
+            event = "caller_connection_ended";
+            "connection of a caller ended with an error: {error}"
+        );
         if error.is_timeout() {
             let parts = connection.into_parts();
-            answer_timeout(parts.io.into_inner(), &parts.read_buf).await;
+            send_timeout_response(parts.io.into_inner(), &parts.read_buf).await;
         }
     }
     drop(permit);
 }
 
-/// Tells a caller that its head did not arrive in time. An idle connection, on which no byte of a
-/// head has arrived, is closed without a word.
-async fn answer_timeout(mut stream: TcpStream, received: &[u8]) {
+/// Responds to a request whose head did not arrive in time. An idle connection, on which no byte of
+/// a head has arrived, is closed without a response.
+async fn send_timeout_response(mut stream: TcpStream, received: &[u8]) {
     if received.is_empty() {
         return;
     }
@@ -136,13 +140,13 @@
         "the head of the request did not arrive whole within the limit",
     );
     let response = HttpResponse::from(Outcome::from(not_run));
-    // The caller may be gone.
+    // The write fails if the caller has disconnected.
     let _ = stream.write_all(&response.to_bytes()).await;
     let _ = stream.shutdown().await;
 }
 
 async fn respond(context: ServerContext, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let route = Route::of(request.uri().path(), request.uri().query());
+    let route = Route::from_path(request.uri().path(), request.uri().query());
     let outcome = match route {
         Route::Request { service, minion_path } => {
             let (parts, body) = request.into_parts();
@@ -163,7 +167,7 @@
             }
         }
         Route::Operator(route) => {
-            return operator_response(run_operator(&context, route, request).await);
+            return operator_http_response(run_operator(&context, route, request).await);
         }
         Route::NotFound => return not_found(),
     };
@@ -182,14 +186,17 @@
     };
     caller.content.body = body.bytes;
     let remaining = deadline.saturating_sub(received.elapsed());
-    // A task of its own, so that a caller that hangs up does not stop the bookkeeping of what was
-    // already sent.
+    // A separate task, so that the attempts already sent are followed to their end even if the
+    // caller disconnects.
     let call = tokio::spawn(async move {
         let _reserved = body.reserved;
         run_call(context.call, caller.content, caller.key, remaining).await
     });
     call.await.unwrap_or_else(|error| {
-        log::error!(event = "call_failed"; "{error}");
+        log::error!(
+            event = "call_failed";
+            "the task of a request failed: {error}; its outcome is reported as unknown"
+        );
         Outcome::from(Unknown::new(UnknownReason::ShutDown, "the entry failed during the request"))
     })
 }
@@ -198,27 +205,29 @@
     context: &ServerContext,
     route: OperatorRoute,
     request: Request<Incoming>,
-) -> OperatorAnswer {
+) -> OperatorResponse {
     if request.method() != route.method() {
         let message = format!("use {} for this path", route.method());
-        return problem(StatusCode::METHOD_NOT_ALLOWED, "wrong_method", message);
+        return error_response(StatusCode::METHOD_NOT_ALLOWED, "wrong_method", message);
     }
     match read_body(context, request.into_body()).await {
         Ok(body) => {
             operators::respond(route, &body.bytes, &context.control, &context.telemetry).await
         }
         Err(not_run) if not_run.retry_after_ms.is_some() => {
-            problem(StatusCode::SERVICE_UNAVAILABLE, "not_sent", not_run.detail.to_string())
+            error_response(StatusCode::SERVICE_UNAVAILABLE, "not_sent", not_run.detail.to_string())
+        }
+        Err(not_run) => {
+            error_response(StatusCode::BAD_REQUEST, "incomplete", not_run.detail.to_string())
         }
-        Err(not_run) => problem(StatusCode::BAD_REQUEST, "incomplete", not_run.detail.to_string()),
     }
 }
 
-fn operator_response(answer: OperatorAnswer) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(answer.body_json));
-    *response.status_mut() = answer.status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    response
+fn operator_http_response(response: OperatorResponse) -> Response<Full<Bytes>> {
+    let mut http = Response::new(Full::new(response.body_json));
+    *http.status_mut() = response.status;
+    http.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    http
 }
 
 fn too_large(limit_bytes: u64) -> NotRun {
@@ -226,7 +235,7 @@
     NotRun::permanent(NotRunReason::TooLarge, &detail)
 }
 
-/// A whole body, and the memory that is set aside for it until the request ends.
+/// A complete body, and the memory that is reserved for it until the request ends.
 struct ReceivedBody {
     bytes: Bytes,
     reserved: OwnedSemaphorePermit,
@@ -237,7 +246,7 @@
         return Err(too_large(context.body_limit_bytes));
     }
     let collect = collect_body(context, body);
-    tokio::time::timeout(context.receive_limit, collect).await.unwrap_or_else(|_| {
+    tokio::time::timeout(context.receive_timeout, collect).await.unwrap_or_else(|_| {
         Err(NotRun::retryable(
             NotRunReason::ReceiveTimeout,
             0,
@@ -246,7 +255,7 @@
     })
 }
 
-/// Sets memory aside as the parts arrive, so that slow callers hold little of it.
+/// Reads a body and reserves memory as its chunks arrive, so that slow callers hold little of it.
 async fn collect_body(context: &ServerContext, mut body: Incoming) -> Result<ReceivedBody, NotRun> {
     let mut collector = BodyCollector::new(context.body_limit_bytes);
     let mut reserved = reserve(context, 0)?;
