--- a/crates/yuccatack_entry/examples/measure_requests/load.rs
+++ b/crates/yuccatack_entry/examples/measure_requests/load.rs
@@ -1,4 +1,4 @@
-//! Callers in closed and open loops.
+//! Closed-loop and open-loop load generators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 
 use crate::common::SERVICE;
 
-/// What callers saw.
+/// Outcomes and latencies that callers measured.
 pub struct Report {
     pub latency_us: Histogram<u64>,
     pub completed: u64,
-    /// The completed requests whose answer came while the load lasted.
+    /// Completed requests whose response arrived before the end of the load.
     pub completed_in_span: u64,
     pub refused: u64,
     pub unknown: u64,
@@ -70,7 +70,7 @@
     sender
 }
 
-/// Four organisations, as in both deployments.
+/// Names of the organisations, as many as in each example deployment.
 pub const ORGANISATIONS: [&str; 4] = ["one", "two", "three", "four"];
 
 async fn call(
@@ -94,7 +94,7 @@
     status
 }
 
-/// Callers that each send the next request when the last one is answered.
+/// Runs callers that each send the next request after the response to the previous one.
 pub async fn closed_loop(address: SocketAddr, concurrency: usize, span: Duration) -> Report {
     let started = Instant::now();
     let callers = (0..concurrency).map(|_| {
@@ -118,16 +118,16 @@
     total
 }
 
-/// A load that does not wait for answers.
+/// Parameters of an open-loop load, which does not wait for responses.
 #[derive(Clone, Copy)]
-pub struct Offered {
+pub struct OfferedLoad {
     pub rate_per_s: f64,
     pub span: Duration,
     pub deadline: Duration,
 }
 
-/// Four in a hundred requests are urgent, 56 are standard and 40 are batch. Urgent requests alone
-/// then need 40% of the capacity at ten times the load.
+/// Returns the priority class of a request: 4% are urgent, 56% standard and 40% batch. Urgent
+/// requests then need 40% of the capacity at ten times the load that the minions can answer.
 fn class_of(number: u64) -> PriorityClass {
     match number % 25 {
         0 => PriorityClass::Urgent,
@@ -136,7 +136,7 @@
     }
 }
 
-fn class_word(class: PriorityClass) -> &'static str {
+fn class_name(class: PriorityClass) -> &'static str {
     match class {
         PriorityClass::Urgent => "urgent",
         PriorityClass::Standard => "standard",
@@ -144,8 +144,11 @@
     }
 }
 
-/// Sends at a fixed rate, each request on a connection that no other request uses.
-pub async fn open_loop(address: SocketAddr, offered: Offered) -> BTreeMap<PriorityClass, Report> {
+/// Sends requests at a fixed rate, each on a connection with no other request in flight.
+pub async fn open_loop(
+    address: SocketAddr,
+    offered: OfferedLoad,
+) -> BTreeMap<PriorityClass, Report> {
     let (idle_sender, mut idle) = mpsc::unbounded_channel::<Connection>();
     let (result_sender, mut results) = mpsc::unbounded_channel();
     let started = Instant::now();
@@ -162,9 +165,9 @@
                 None => connect(address).await,
             };
             let organisation = ORGANISATIONS[(number / 25) as usize % ORGANISATIONS.len()];
-            let word = class_word(class);
-            let status = call(&mut connection, organisation, word, offered.deadline).await;
-            // Counted from the time at which it was due, so that a late start is not hidden.
+            let class_name = class_name(class);
+            let status = call(&mut connection, organisation, class_name, offered.deadline).await;
+            // The latency is measured from the scheduled time, so that it includes a delayed start.
             let in_span = started.elapsed() < offered.span;
             let _ = result_sender.send((class, status, due.elapsed(), in_span));
             let _ = idle_sender.send(connection);
--- a/crates/yuccatack_entry/examples/measure_requests/main.rs
+++ b/crates/yuccatack_entry/examples/measure_requests/main.rs
@@ -1,4 +1,4 @@
-//! Measures the request path on real sockets, with every process in this one.
+//! Measures the request path on real sockets, with all roles in one process.
 //!
 //! `cargo run --release -p yuccatack_entry --example measure_requests -- latency`, or `overload`,
 //! `balance` or `idle`. The figures in docs/requests.md come from this program.
@@ -11,9 +11,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::{AgentProcess, HandMadeView, System};
+use common::{ManualView, RunningAgent, System};
 use hdrhistogram::Histogram;
-use load::{Offered, Report, closed_loop, open_loop};
+use load::{OfferedLoad, Report, closed_loop, open_loop};
 use yuccatack_requests::routing::RoutingPolicy;
 use yuccatack_stand_ins::{MinionBehaviour, MinionStandIn};
 
@@ -29,22 +29,22 @@
     }
 }
 
-/// Takes the limits per organisation out of the measurement.
-fn unlimit(system: &System) {
+/// Raises the limits of all organisations so far that they do not affect the measurement.
+fn raise_limits(system: &System) {
     for organisation in load::ORGANISATIONS {
         system.view.set_limits(organisation, 1_000_000, 1_000_000);
     }
 }
 
-fn micros(histogram: &Histogram<u64>, quantile: f64) -> u64 {
+fn quantile_us(histogram: &Histogram<u64>, quantile: f64) -> u64 {
     histogram.value_at_quantile(quantile)
 }
 
-/// Alternates between direct calls and calls through entry and agent, so that both meet the same
-/// machine.
+/// Compares direct calls with calls through entry and agent. The two alternate, so that changes in
+/// the load of the machine affect both.
 async fn latency() {
     let system = System::start(&[MinionBehaviour::default()]).await;
-    unlimit(&system);
+    raise_limits(&system);
     let direct_address = system.minions[0].address();
     let entry_address = system.entry.address;
     for concurrency in [1, 4, 8] {
@@ -58,8 +58,8 @@
         for (name, report) in [("direct", &direct), ("entry and agent", &through)] {
             println!(
                 "{concurrency} callers, {name}: p50 {} us, p99 {} us, {:.0} requests/s, {} not 200",
-                micros(&report.latency_us, 0.5),
-                micros(&report.latency_us, 0.99),
+                quantile_us(&report.latency_us, 0.5),
+                quantile_us(&report.latency_us, 0.99),
                 report.completed as f64 / report.elapsed.as_secs_f64(),
                 report.refused + report.unknown,
             );
@@ -67,14 +67,15 @@
     }
 }
 
-/// Two minions with 8 slots and 80 ms a request can answer 200 requests a second.
+/// Measures goodput under overload. Two minions with 8 slots and 80 ms per request can answer 200
+/// requests per second.
 async fn overload() {
     let slow = MinionBehaviour { delay: Duration::from_millis(80), ..Default::default() };
     let system = System::start_with(&[slow; 2], |_, _| {}).await;
-    unlimit(&system);
+    raise_limits(&system);
     let capacity_per_s = 2.0 * 8.0 / 0.080;
     for factor in [0.25, 1.0, 2.0, 10.0] {
-        let offered = Offered {
+        let offered = OfferedLoad {
             rate_per_s: capacity_per_s * factor,
             span: Duration::from_secs(10),
             deadline: Duration::from_secs(1),
@@ -89,15 +90,16 @@
                 report.completed,
                 report.refused,
                 report.unknown,
-                micros(&report.latency_us, 0.5) / 1000,
-                micros(&report.latency_us, 0.99) / 1000,
+                quantile_us(&report.latency_us, 0.5) / 1000,
+                quantile_us(&report.latency_us, 0.99) / 1000,
             );
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
 }
 
-/// Eleven minions whose requests take from 50 ms to 200 ms, at about 70% of what they can answer.
+/// Compares routing policies on eleven minions whose requests take from 50 ms to 200 ms, at 70% of
+/// their capacity.
 async fn balance() {
     let delays_ms = [50, 50, 50, 50, 50, 100, 100, 100, 200, 200, 200];
     let capacity_per_s: f64 = delays_ms.iter().map(|delay| 8.0 * 1000.0 / *delay as f64).sum();
@@ -113,8 +115,8 @@
             .collect();
         let system =
             System::start_with(&behaviours, |_, inputs| inputs.routing.policy = policy).await;
-        unlimit(&system);
-        let offered = Offered {
+        raise_limits(&system);
+        let offered = OfferedLoad {
             rate_per_s: capacity_per_s * 0.7,
             span: Duration::from_secs(10),
             deadline: Duration::from_secs(2),
@@ -139,8 +141,8 @@
             offered.rate_per_s,
             all.completed,
             all.refused,
-            micros(&all.latency_us, 0.5) / 1000,
-            micros(&all.latency_us, 0.99) / 1000,
+            quantile_us(&all.latency_us, 0.5) / 1000,
+            quantile_us(&all.latency_us, 0.99) / 1000,
         );
     }
 }
@@ -149,7 +151,7 @@
     let text = std::fs::read_to_string("/proc/self/stat").unwrap();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap().split_whitespace().collect();
     let ticks: u64 = fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap();
-    // Linux counts in hundredths of a second.
+    // Linux counts processor time in ticks of 10 ms.
     Duration::from_millis(ticks * 10)
 }
 
@@ -159,11 +161,11 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// One agent with its minion stand-in and nothing to do. The figures contain the stand-in.
+/// Measures an agent without load. The figures include its minion test double.
 async fn idle() {
-    let view = HandMadeView::new();
+    let view = ManualView::new();
     let minion = MinionStandIn::start(MinionBehaviour::default()).await.unwrap();
-    let agent = AgentProcess::start("minion-0", minion.address(), &view).await;
+    let agent = RunningAgent::start("minion-0", minion.address(), &view).await;
     view.wait_for_ready(1).await;
     let (before, started) = (processor_time(), Instant::now());
     tokio::time::sleep(Duration::from_secs(20)).await;
--- a/crates/yuccatack_entry/tests/bad_callers.rs
+++ b/crates/yuccatack_entry/tests/bad_callers.rs
@@ -12,13 +12,14 @@
 use tokio::net::TcpStream;
 use yuccatack_stand_ins::MinionBehaviour;
 
-/// Ten times the limit for receiving a request in these tests would mean that no limit held.
-const ANSWER_LIMIT: Duration = Duration::from_secs(5);
+/// Five times the timeout for receiving a request in these tests. A request that is still open
+/// then shows that the timeout is not enforced.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 struct BadCase {
     name: &'static str,
     request: String,
-    /// What the answer starts with.
+    /// Expected start of the response.
     answer: &'static str,
 }
 
@@ -50,13 +51,13 @@
     ]
 }
 
-/// Everything that the entry sends until it closes the connection.
+/// Reads everything that the entry sends until it closes the connection.
 async fn read_all(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
     let mut buffer = [0; 4096];
     loop {
         match stream.read(&mut buffer).await {
-            // A reset after the answer is how an unread request ends.
+            // The entry resets the connection if it responds before it has read the whole request.
             Ok(0) | Err(_) => return String::from_utf8_lossy(&answer).into_owned(),
             Ok(count) => answer.extend_from_slice(&buffer[..count]),
         }
@@ -65,18 +66,18 @@
 
 async fn send_raw(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // The entry may answer and close before it has read everything.
+    // The write fails if the entry responds and closes before it has read everything.
     let _ = stream.write_all(request.as_bytes()).await;
     read_all(&mut stream).await
 }
 
-/// Guards against a bad request that hangs, gets several answers, or disturbs others.
+/// Guards against a malformed request that hangs, gets several responses or affects other requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_error_each() {
+async fn single_error_response() {
     let system = System::start(&[MinionBehaviour::default()]).await;
     for case in cases() {
         let sent = send_raw(system.entry.address, &case.request);
-        let answer = tokio::time::timeout(ANSWER_LIMIT, sent).await.expect(case.name);
+        let answer = tokio::time::timeout(RESPONSE_TIMEOUT, sent).await.expect(case.name);
         assert!(answer.starts_with(case.answer), "{}: {answer}", case.name);
         assert!(answer.matches("HTTP/1.1 ").count() <= 1, "{}: {answer}", case.name);
         let other = system.post(IDEMPOTENT, case.name).await;
@@ -85,7 +86,7 @@
     assert_eq!(system.run_count().await, cases().len());
 }
 
-/// Guards against a caller that holds a connection by sending a byte a second.
+/// Guards against a caller that keeps a connection open by sending a byte every 250 ms.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn slow_callers() {
     let system = System::start(&[MinionBehaviour::default()]).await;
@@ -109,16 +110,16 @@
         tokio::select! {
             _ = reader.read_to_end(&mut received) => {}
             () = drip => {}
-            () = tokio::time::sleep(ANSWER_LIMIT) => panic!("{request}: still open"),
+            () = tokio::time::sleep(RESPONSE_TIMEOUT) => panic!("{request}: still open"),
         }
         let received = String::from_utf8_lossy(&received);
         assert!(received.starts_with(answer), "{received}");
-        assert!(started.elapsed() < ANSWER_LIMIT);
+        assert!(started.elapsed() < RESPONSE_TIMEOUT);
     }
 }
 
-/// Guards against bodies that together take more memory than is set aside for them, and against
-/// memory that is not freed.
+/// Guards against bodies that together exceed the body memory, and against memory that is not
+/// freed: 40 callers send almost the whole of a body of the maximum size and stop.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn body_memory() {
     let system = System::start(&[MinionBehaviour::default()]).await;
@@ -135,13 +136,13 @@
         let answer = read_all(stream).await;
         refused += usize::from(answer.contains("yuccatack-reason: queue_full"));
     }
-    // 32 largest bodies fit; the others of 40 are refused, and the incomplete ones time out.
+    // 32 bodies of the maximum size fit; of the 40, the others are refused and the rest time out.
     assert!((8..40).contains(&refused), "{refused}");
     let after = system.post(IDEMPOTENT, "after").await;
     assert_eq!(after.status, 200, "{after:?}");
 }
 
-/// Guards against pipelined requests whose answers are mixed up or lost.
+/// Guards against pipelined requests whose responses are reordered or lost.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn pipelined_requests() {
     let system = System::start(&[MinionBehaviour::default()]).await;
--- a/crates/yuccatack_entry/tests/common/mod.rs
+++ b/crates/yuccatack_entry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An entry with agents and minion stand-ins on real sockets, and a caller.
+//! Test support: an entry, agents and minion test doubles on real sockets, and an HTTP caller.
 
 #![allow(dead_code)]
 
@@ -34,14 +34,14 @@
 
 pub const SERVICE: &str = "reviews";
 
-/// A view that a test keeps by hand.
+/// A view whose content and freshness are set by the test instead of a control leader.
 #[derive(Clone)]
-pub struct HandMadeView {
+pub struct ManualView {
     view: watch::Sender<Arc<View>>,
     fresh_until: watch::Sender<Option<Instant>>,
 }
 
-impl HandMadeView {
+impl ManualView {
     pub fn new() -> Self {
         let fresh_until = Some(Instant::now() + Duration::from_secs(3600));
         Self {
@@ -63,8 +63,8 @@
         self.view.send_modify(|view| change(Arc::make_mut(view)));
     }
 
-    /// Keeps one minion of the view at what its agent reports.
-    pub fn follow(
+    /// Copies each report of an agent into the entry of its minion, with `address` as its address.
+    pub fn copy_reports(
         &self,
         node: NodeName,
         incarnation: Incarnation,
@@ -109,7 +109,7 @@
         tokio::time::timeout(Duration::from_secs(10), met).await.unwrap().unwrap();
     }
 
-    /// Gives an organisation a record with these limits.
+    /// Adds a record with these limits for an organisation.
     pub fn set_limits(&self, name: &str, rate_per_s: u32, concurrency_count: u32) {
         let record = OrganisationRecord {
             name: OrganisationName::new(name).unwrap(),
@@ -131,19 +131,19 @@
     }
 }
 
-pub struct AgentProcess {
+pub struct RunningAgent {
     pub node: NodeName,
     pub address: SocketAddr,
     pub incarnation: Incarnation,
     pub trigger: ShutdownTrigger,
     pub task: JoinHandle<Result<(), AgentError>>,
-    /// Its own runtime, so that a test can kill all of its tasks at once.
+    /// Separate runtime, so that a test can kill all tasks of the agent at once.
     runtime: Option<Runtime>,
-    /// Its own view, so that a test can make it stale.
-    pub view: HandMadeView,
+    /// View of this agent only, so that a test can make it stale.
+    pub view: ManualView,
 }
 
-impl Drop for AgentProcess {
+impl Drop for RunningAgent {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
@@ -151,8 +151,8 @@
     }
 }
 
-impl AgentProcess {
-    /// Ends the process without any goodbye, and waits until its sockets are closed.
+impl RunningAgent {
+    /// Stops all tasks of the agent without a drain and waits until its sockets are closed.
     pub async fn kill(mut self) -> SocketAddr {
         let runtime = self.runtime.take().unwrap();
         let timeout = Duration::from_secs(5);
@@ -160,7 +160,7 @@
         self.address
     }
 
-    pub async fn start(name: &str, minion: SocketAddr, view: &HandMadeView) -> Self {
+    pub async fn start(name: &str, minion: SocketAddr, view: &ManualView) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         Self::start_on(name, minion, view, listener, address).await
@@ -169,9 +169,9 @@
     pub async fn start_on(
         name: &str,
         minion: SocketAddr,
-        view: &HandMadeView,
+        view: &ManualView,
         listener: TcpListener,
-        seen_address: SocketAddr,
+        advertised_address: SocketAddr,
     ) -> Self {
         let address = listener.local_addr().unwrap();
         let node = NodeName::new(name).unwrap();
@@ -191,9 +191,9 @@
         };
         let incarnation = Incarnation::random();
         let (reports, reports_receiver) = watch::channel(None);
-        view.follow(node.clone(), incarnation, seen_address, reports_receiver);
-        let own_view = HandMadeView::new();
-        let handle = own_view.handle();
+        view.copy_reports(node.clone(), incarnation, advertised_address, reports_receiver);
+        let agent_view = ManualView::new();
+        let handle = agent_view.handle();
         let (trigger, shutdown) = shutdown_channel();
         let listener = listener.into_std().unwrap();
         let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
@@ -209,36 +209,36 @@
             yuccatack_agent::serve(settings, inputs, shutdown).await
         });
         let runtime = Some(runtime);
-        Self { node, address, incarnation, trigger, task, runtime, view: own_view }
+        Self { node, address, incarnation, trigger, task, runtime, view: agent_view }
     }
 }
 
-/// Answers claims like a control leader, from one table.
-pub fn spawn_claims(mut messages: mpsc::Receiver<ClaimMessage>) -> JoinHandle<()> {
+/// Applies claims to one table, as a control leader does.
+pub fn spawn_claim_server(mut messages: mpsc::Receiver<ClaimMessage>) -> JoinHandle<()> {
     tokio::spawn(async move {
         let mut table = ClaimTable::new(ClaimLimits::default());
         while let Some(message) = messages.recv().await {
-            let outcome = table.apply(message.command, wall_clock());
+            let outcome = table.apply(message.command, unix_time());
             let _ = message.reply.send(Ok(outcome));
         }
     })
 }
 
-pub fn wall_clock() -> TimestampMs {
+pub fn unix_time() -> TimestampMs {
     let now = std::time::SystemTime::now();
     let since_epoch = now.duration_since(std::time::UNIX_EPOCH).unwrap();
     TimestampMs::new(since_epoch.as_millis() as u64)
 }
 
-pub struct EntryProcess {
+pub struct RunningEntry {
     pub address: SocketAddr,
     pub trigger: ShutdownTrigger,
     pub task: JoinHandle<Result<(), EntryError>>,
 }
 
-impl EntryProcess {
+impl RunningEntry {
     pub async fn start(
-        view: &HandMadeView,
+        view: &ManualView,
         claims: yuccatack_requests::claims::ClaimClient,
         change: impl FnOnce(&mut EntrySettings, &mut EntryInputs),
     ) -> Self {
@@ -279,13 +279,13 @@
     }
 }
 
-/// One entry, and a pair of agent and minion for each behaviour.
+/// One entry, and an agent with a minion test double for each behaviour.
 pub struct System {
-    pub view: HandMadeView,
+    pub view: ManualView,
     pub minions: Vec<MinionStandIn>,
-    pub agents: Vec<AgentProcess>,
+    pub agents: Vec<RunningAgent>,
     pub claims: yuccatack_requests::claims::ClaimClient,
-    pub entry: EntryProcess,
+    pub entry: RunningEntry,
 }
 
 impl System {
@@ -297,19 +297,19 @@
         behaviours: &[MinionBehaviour],
         change: impl FnOnce(&mut EntrySettings, &mut EntryInputs),
     ) -> Self {
-        let view = HandMadeView::new();
+        let view = ManualView::new();
         let mut minions = Vec::new();
         let mut agents = Vec::new();
         for (index, behaviour) in behaviours.iter().enumerate() {
             let minion = MinionStandIn::start(*behaviour).await.unwrap();
             let name = format!("minion-{index}");
-            agents.push(AgentProcess::start(&name, minion.address(), &view).await);
+            agents.push(RunningAgent::start(&name, minion.address(), &view).await);
             minions.push(minion);
         }
         let (claims, messages) = claim_channel();
-        spawn_claims(messages);
+        spawn_claim_server(messages);
         view.wait_for_ready(behaviours.len()).await;
-        let entry = EntryProcess::start(&view, claims.clone(), change).await;
+        let entry = RunningEntry::start(&view, claims.clone(), change).await;
         Self { view, minions, agents, claims, entry }
     }
 
@@ -346,7 +346,7 @@
 pub const IDEMPOTENT: &[(&str, &str)] =
     &[("yuccatack-organisation", "lender"), ("yuccatack-idempotent", "true")];
 
-/// Sends one request on a connection of its own.
+/// Sends one request on a new connection.
 pub async fn post(address: SocketAddr, headers: &[(&str, &str)], body: &str) -> CallerAnswer {
     let stream = TcpStream::connect(address).await.unwrap();
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.unwrap();
--- a/crates/yuccatack_entry/tests/forced_end.rs
+++ b/crates/yuccatack_entry/tests/forced_end.rs
@@ -1,4 +1,4 @@
-//! The end of a process before its drain is complete.
+//! Aborted drains of an entry and an agent.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -12,9 +12,10 @@
 use yuccatack_lifecycle::ShutdownPhase;
 use yuccatack_stand_ins::MinionBehaviour;
 
-/// Guards against a forced end that hides what it left.
+/// Guards against an aborted drain that ends without an error or with a wrong count of the requests
+/// and attempts it interrupted: three requests are running when the abort comes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn counts_left() {
+async fn reports_unfinished_counts() {
     let slow = MinionBehaviour { delay: Duration::from_secs(20), ..Default::default() };
     let mut system = System::start(&[slow]).await;
     let address = system.entry.address;
--- a/crates/yuccatack_entry/tests/key_claims.rs
+++ b/crates/yuccatack_entry/tests/key_claims.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent requests over real sockets: at most one run, and the first answer again.
+//! Non-idempotent requests over real sockets: one run at most, and the same response to a resend.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{AgentProcess, EntryProcess, System, post, wall_clock};
+use common::{RunningAgent, RunningEntry, System, post, unix_time};
 use tokio::net::TcpListener;
 use yuccatack_stand_ins::MinionBehaviour;
 use yuccatack_view::MinionState;
@@ -21,16 +21,16 @@
 }
 
 fn new_key(text: &str) -> String {
-    format!("{}-{text}", wall_clock().get())
+    format!("{}-{text}", unix_time().get())
 }
 
-/// Guards against a second run of a key that is sent again through another entry, at once or
-/// later.
+/// Guards against a second run of an idempotency key that is sent again through another entry,
+/// concurrently or later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn resend_elsewhere() {
     let slow = MinionBehaviour { delay: Duration::from_millis(100), ..Default::default() };
     let system = System::start(&[slow; 3]).await;
-    let other = EntryProcess::start(&system.view, system.claims.clone(), |_, _| {}).await;
+    let other = RunningEntry::start(&system.view, system.claims.clone(), |_, _| {}).await;
     let key = new_key("rescoring");
     let mut calls = Vec::new();
     for address in [system.entry.address, other.address, system.entry.address] {
@@ -47,14 +47,15 @@
     assert_eq!(system.run_count().await, 1);
 }
 
-/// Guards against keys that are refused wrongly or run although they must not.
+/// Guards against reused, expired, future or malformed idempotency keys that run a request or are
+/// refused for another reason.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn refused_keys() {
     let system = System::start(&[MinionBehaviour::default()]).await;
     let first = new_key("audit");
     assert_eq!(system.post(&headers(&first), "one").await.status, 200);
-    let old = format!("{}-old", wall_clock().get() - 25 * 60 * 60 * 1000);
-    let future = format!("{}-future", wall_clock().get() + 10 * 60 * 1000);
+    let old = format!("{}-old", unix_time().get() - 25 * 60 * 60 * 1000);
+    let future = format!("{}-future", unix_time().get() + 10 * 60 * 1000);
     let cases = [
         (first.as_str(), "other content", "key_reused"),
         (old.as_str(), "one", "key_too_old"),
@@ -72,7 +73,7 @@
     assert_eq!(system.run_count().await, 1);
 }
 
-/// Guards against a second run after the agent that may have run the request has restarted.
+/// Guards against a second run of a request whose agent was killed during the run and restarted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn restarted_agent() {
     let slow = MinionBehaviour { delay: Duration::from_millis(300), ..Default::default() };
@@ -89,7 +90,7 @@
     let listener = TcpListener::bind(agent_address).await.unwrap();
     let minion = system.minions[0].address();
     let started =
-        AgentProcess::start_on("minion-0", minion, &system.view, listener, agent_address).await;
+        RunningAgent::start_on("minion-0", minion, &system.view, listener, agent_address).await;
     let answer = call.await.unwrap();
     assert_eq!((answer.status, answer.reason()), (504, "agent_restarted"), "{answer:?}");
     let again = system.post(&headers(&key), "rank").await;
@@ -98,8 +99,8 @@
     drop(started);
 }
 
-/// Guards against a resend that is told "not run" about a request that ran, because no minion
-/// takes work at that moment; and against a key that stays blocked by such a question.
+/// Guards against a resend of a completed request that gets "not run" because no minion accepts
+/// work at that time, and against an idempotency key that stays blocked after such a refusal.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn resend_without_minions() {
     let system = System::start(&[MinionBehaviour::default()]).await;
--- a/crates/yuccatack_entry/tests/minion_faults.rs
+++ b/crates/yuccatack_entry/tests/minion_faults.rs
@@ -1,4 +1,4 @@
-//! What the caller is told when the minion misbehaves, over real sockets.
+//! Outcomes that callers get when a minion misbehaves, over real sockets.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::{IDEMPOTENT, System, wall_clock};
+use common::{IDEMPOTENT, System, unix_time};
 use yuccatack_stand_ins::MinionBehaviour;
 
 struct FaultCase {
@@ -22,14 +22,14 @@
     FaultCase { fault: "silent", reason: "deadline" },
 ];
 
-/// Guards against a partial, foreign or missing answer that is passed on as an answer, and
-/// against a second run of a request that may have run.
+/// Guards against a truncated, foreign or missing response that is passed on as completed, and
+/// against a second run of a non-idempotent request after such a response.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn not_idempotent() {
     let system = System::start(&[MinionBehaviour::default(); 2]).await;
     for case in CASES {
         let before = system.run_count().await;
-        let key = format!("{}-{}", wall_clock().get(), case.fault);
+        let key = format!("{}-{}", unix_time().get(), case.fault);
         let headers = [
             ("yuccatack-organisation", "lender"),
             ("yuccatack-key", key.as_str()),
@@ -45,10 +45,10 @@
     }
 }
 
-/// Guards against one misbehaving exchange that disturbs later ones: after each fault an ordinary
-/// request gets its own answer.
+/// Guards against a faulty response that affects later requests, for example through a connection
+/// that is used again: after each fault an ordinary request must get the response to its own body.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn others_undisturbed() {
+async fn later_requests_unaffected() {
     let system = System::start(&[MinionBehaviour::default()]).await;
     for case in CASES {
         let mut headers = IDEMPOTENT.to_vec();
@@ -61,10 +61,10 @@
     }
 }
 
-/// Guards against a late answer that reaches the next request on the connection: the exchange is
-/// abandoned at its deadline and its connection is closed.
+/// Guards against a late response that is delivered to the next request on the same connection: the
+/// agent must close the connection when the deadline passes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn late_answer() {
+async fn late_response() {
     let system = System::start(&[MinionBehaviour::default()]).await;
     let mut late = IDEMPOTENT.to_vec();
     late.extend([("stand-in-delay-ms", "400"), ("yuccatack-deadline-ms", "100")]);
@@ -75,7 +75,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    // The minion would hold the connection for another 300 ms.
+    // Without the close by the agent, the connection stays open for another 300 ms.
     tokio::time::timeout(Duration::from_millis(150), closed).await.expect("still connected");
     for number in 0..10 {
         let body = format!("next {number}");
@@ -85,7 +85,8 @@
     }
 }
 
-/// Guards against an idempotent request that is given up although another minion is well.
+/// Guards against an idempotent request that fails although another minion is healthy: one of the
+/// two minions closes every connection early.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn idempotent_retry() {
     let system = System::start(&[MinionBehaviour::default(); 2]).await;
--- a/crates/yuccatack_entry/tests/raw_answers.rs
+++ b/crates/yuccatack_entry/tests/raw_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that no well-behaved HTTP server would send.
+//! Malformed and unsolicited HTTP responses of a minion.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use common::{AgentProcess, EntryProcess, HandMadeView, IDEMPOTENT, post, spawn_claims};
+use common::{IDEMPOTENT, ManualView, RunningAgent, RunningEntry, post, spawn_claim_server};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use yuccatack_requests::claims::claim_channel;
 
-/// Sends these bytes for each request, and closes the connection if told to.
+/// Starts a minion that sends `answer` for each request and then closes the connection if `closes`.
 async fn raw_minion(answer: &'static str, closes: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -79,19 +79,19 @@
     },
 ];
 
-async fn system(minion: SocketAddr) -> (HandMadeView, AgentProcess, EntryProcess) {
-    let view = HandMadeView::new();
-    let agent = AgentProcess::start("minion-0", minion, &view).await;
+async fn system(minion: SocketAddr) -> (ManualView, RunningAgent, RunningEntry) {
+    let view = ManualView::new();
+    let agent = RunningAgent::start("minion-0", minion, &view).await;
     let (claims, messages) = claim_channel();
-    spawn_claims(messages);
+    spawn_claim_server(messages);
     view.wait_for_ready(1).await;
-    let entry = EntryProcess::start(&view, claims, |_, _| {}).await;
+    let entry = RunningEntry::start(&view, claims, |_, _| {}).await;
     (view, agent, entry)
 }
 
-/// Guards against partial or foreign content that is passed on as a whole answer.
+/// Guards against a partial response, or one for another attempt, that is passed on as completed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn whole_or_unknown() {
+async fn complete_or_unknown() {
     for case in CASES {
         let (_view, _agent, entry) = system(raw_minion(case.answer, case.closes).await).await;
         let mut headers = IDEMPOTENT.to_vec();
@@ -104,9 +104,10 @@
     }
 }
 
-/// Guards against a second, unasked answer on a connection that is taken for the next request's.
+/// Guards against an unsolicited second response on a connection that is delivered to the next
+/// request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn unasked_answer() {
+async fn unsolicited_response() {
     let twice = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nfirst\
                  HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra";
     let (_view, _agent, entry) = system(raw_minion(twice, false).await).await;
--- a/crates/yuccatack_entry/tests/silent_links.rs
+++ b/crates/yuccatack_entry/tests/silent_links.rs
@@ -1,4 +1,4 @@
-//! Connections between entry and agent that stop responding while new ones work.
+//! Connections between entry and agent that stop responding while new connections work.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::{AgentProcess, EntryProcess, HandMadeView, post, spawn_claims, wall_clock};
+use common::{ManualView, RunningAgent, RunningEntry, post, spawn_claim_server, unix_time};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use yuccatack_requests::claims::claim_channel;
 use yuccatack_stand_ins::{MinionBehaviour, MinionStandIn};
 
-/// Passes bytes on until told to hold back the answers of the connections that are open by then.
+/// Forwards connections; `stalled` is the number of the last one whose responses are held back.
 async fn forward(listener: TcpListener, to: SocketAddr, stalled: watch::Receiver<usize>) {
     let mut number = 0;
     while let Ok((inward, _)) = listener.accept().await {
@@ -39,30 +39,32 @@
         _ = tokio::io::copy(&mut from_agent, &mut to_entry) => return,
         () = stall => {}
     }
-    // The sockets stay open, and nothing passes any more.
+    // The sockets stay open, but the agent's bytes are no longer forwarded.
     std::future::pending::<()>().await;
 }
 
-/// Guards against a request that waits for its deadline on a dead connection, and against a
-/// second run of it: a new connection resolves it and brings the answer of the only run.
+/// Guards against a request that waits until its deadline on a stalled connection, and against a
+/// second run of it: the entry must resolve the attempt on a new connection and return the response
+/// of the only run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn stalled_connection() {
-    let view = HandMadeView::new();
+    let view = ManualView::new();
     let slow = MinionBehaviour { delay: Duration::from_millis(300), ..Default::default() };
     let minion = MinionStandIn::start(slow).await.unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let agent_address = listener.local_addr().unwrap();
     let forwarder = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let seen_address = forwarder.local_addr().unwrap();
+    let advertised_address = forwarder.local_addr().unwrap();
     let (stall, stalled) = watch::channel(0);
     tokio::spawn(forward(forwarder, agent_address, stalled));
     let agent =
-        AgentProcess::start_on("minion-0", minion.address(), &view, listener, seen_address).await;
+        RunningAgent::start_on("minion-0", minion.address(), &view, listener, advertised_address)
+            .await;
     let (claims, messages) = claim_channel();
-    spawn_claims(messages);
+    spawn_claim_server(messages);
     view.wait_for_ready(1).await;
-    let entry = EntryProcess::start(&view, claims, |_, _| {}).await;
-    let key = format!("{}-review", wall_clock().get());
+    let entry = RunningEntry::start(&view, claims, |_, _| {}).await;
+    let key = format!("{}-review", unix_time().get());
     let headers = [("yuccatack-organisation", "lender"), ("yuccatack-key", &key)];
     let call = tokio::spawn({
         let headers = headers.map(|(name, value)| (name, value.to_owned()));
@@ -77,7 +79,7 @@
     let started = Instant::now();
     let answer = call.await.unwrap();
     assert_eq!((answer.status, answer.body.as_ref()), (200, b"body".as_ref()), "{answer:?}");
-    // Silence counts after 1 s; unanswered pings would only tell after 2 s.
+    // The entry resolves an attempt after 1 s without a response; keep-alive pings take 2 s.
     assert!(started.elapsed() < Duration::from_millis(1_500), "{:?}", started.elapsed());
     assert_eq!(minion.runs().await.len(), 1);
     drop(agent);
--- a/crates/yuccatack_entry/tests/thin_path.rs
+++ b/crates/yuccatack_entry/tests/thin_path.rs
@@ -1,4 +1,4 @@
-//! A request passes from caller to minion and back over real sockets.
+//! Requests from caller to minion and back over real sockets.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,9 +10,9 @@
 use yuccatack_lifecycle::ShutdownPhase;
 use yuccatack_stand_ins::MinionBehaviour;
 
-/// Guards against answers that reach the wrong caller under concurrency.
+/// Guards against responses that reach the wrong caller when 40 requests run concurrently.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn own_answers() {
+async fn matching_responses() {
     let system = System::start(&[MinionBehaviour::default(); 2]).await;
     let calls = (0..40).map(|number| {
         let address = system.entry.address;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Guards against a drain that interrupts a request in flight, on either process.
+/// Guards against a drain of the entry or of the agent that interrupts a request in flight.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn graceful_drain() {
     let slow = MinionBehaviour { delay: Duration::from_millis(300), ..Default::default() };
--- a/crates/yuccatack_entry/tests/true_refusals.rs
+++ b/crates/yuccatack_entry/tests/true_refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals over real sockets: nothing reached a minion, and the reason is the true one.
+//! Refusals over real sockets: the request did not run, and the reason is correct.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{EntryProcess, IDEMPOTENT, System, post};
+use common::{IDEMPOTENT, RunningEntry, System, post};
 use yuccatack_lifecycle::ShutdownPhase;
 use yuccatack_stand_ins::MinionBehaviour;
 use yuccatack_view::MinionState;
 
-/// Guards against new work on a configuration that may be out of date, at either process.
+/// Guards against an entry or an agent that starts requests while its view is stale.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn stale_view() {
     let system = System::start(&[MinionBehaviour::default()]).await;
@@ -27,9 +27,10 @@
     assert_eq!(system.run_count().await, 0);
 }
 
-/// Guards against work for a minion that leaves: its agent reports it and refuses at once.
+/// Guards against new requests at a draining agent: it must report the drain to the view and refuse
+/// requests from an entry that has not seen the report.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn leaving_agent() {
+async fn draining_agent() {
     let slow = MinionBehaviour { delay: Duration::from_secs(2), ..Default::default() };
     let system = System::start(&[slow]).await;
     let address = system.entry.address;
@@ -46,7 +47,7 @@
     tokio::time::timeout(Duration::from_secs(1), leaving).await.unwrap();
     let refused = system.post(IDEMPOTENT, "new").await;
     assert_eq!((refused.status, refused.outcome()), (503, "not_run"), "{refused:?}");
-    // An entry whose view is behind must be refused by the agent itself.
+    // The agent must refuse a request from an entry with an outdated view.
     system.view.change(|view| {
         let entry = Arc::make_mut(view.minions.get_mut(&node).unwrap());
         entry.status.state = MinionState::Ready;
@@ -57,7 +58,8 @@
     assert_eq!(system.run_count().await, 1);
 }
 
-/// Guards against a minion that is down: the caller gets a refusal and not an unknown.
+/// Guards against an unknown outcome while the minion is down: nothing was sent, so that the
+/// request must be refused as not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn minion_down() {
     let mut system = System::start(&[MinionBehaviour::default()]).await;
@@ -68,10 +70,10 @@
     assert_eq!((answer.status, answer.outcome()), (503, "not_run"), "{answer:?}");
 }
 
-/// Guards against a request that waits for its deadline, or ends as unknown, because its agent
-/// has gone: without a connection nothing was sent.
+/// Guards against a request that waits until its deadline or ends as unknown because its agent was
+/// killed: without a connection nothing was sent.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn agent_gone() {
+async fn agent_killed() {
     let mut system = System::start(&[MinionBehaviour::default()]).await;
     assert_eq!(system.post(IDEMPOTENT, "before").await.status, 200);
     system.agents.remove(0).kill().await;
@@ -80,7 +82,8 @@
     assert_eq!((answer.status, answer.reason()), (503, "agent_unreachable"), "{answer:?}");
 }
 
-/// Guards against limits that are read and not applied.
+/// Guards against rate and concurrency limits in the record of an organisation that are not
+/// enforced.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn organisation_limits() {
     let slow = MinionBehaviour { delay: Duration::from_millis(200), ..Default::default() };
@@ -108,12 +111,12 @@
     }
 }
 
-/// Guards against more requests or connections at the minion than it takes.
+/// Guards against two entries that together exceed the slots or connections of a minion.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hard_limits() {
+async fn minion_limits() {
     let slow = MinionBehaviour { delay: Duration::from_millis(20), ..Default::default() };
     let system = System::start(&[slow]).await;
-    let other = EntryProcess::start(&system.view, system.claims.clone(), |_, _| {}).await;
+    let other = RunningEntry::start(&system.view, system.claims.clone(), |_, _| {}).await;
     let addresses = [system.entry.address, other.address];
     let calls = (0..100).map(|number| {
         tokio::spawn(async move { post(addresses[number % 2], IDEMPOTENT, "body").await })
@@ -123,7 +126,7 @@
         let answer = call.await.unwrap();
         assert!(matches!(answer.outcome(), "completed" | "not_run"), "{answer:?}");
     }
-    // Each entry alone would send 8 at once.
+    // Each entry by itself sends up to 8 requests concurrently.
     assert_eq!(system.minions[0].running_peak(), 8);
     assert!(system.minions[0].connection_peak() <= 64);
 }
