--- a/examples/footprint/roles.rs
+++ b/examples/footprint/roles.rs
@@ -1,4 +1,4 @@
-//! The roles as separate processes, with stand-ins for workers and a minion in this one.
+//! The roles as separate processes, and test doubles of workers and a minion in this process.
 
 use std::error::Error;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -15,7 +15,7 @@
 
 const CONTROL_COUNT: usize = 3;
 
-/// Running processes; they are ended when this is dropped.
+/// The running role processes, which are killed on drop.
 pub struct Roles {
     processes: Vec<(&'static str, Child)>,
     _minion: MinionStandIn,
@@ -24,7 +24,7 @@
 }
 
 impl Roles {
-    /// Starts three control replicas, an entry, an agent and the stand-ins.
+    /// Starts three control replicas, an entry, an agent, a minion and `worker_count` workers.
     pub async fn start(worker_count: usize) -> Result<Self, Box<dyn Error>> {
         let folder = tempfile::tempdir()?;
         let addresses = free_addresses(2 * CONTROL_COUNT + 2)?;
@@ -53,7 +53,7 @@
         Ok(Self { processes, _minion: minion, _workers: workers, _folder: folder })
     }
 
-    /// Reads every process.
+    /// Reads the resource usage of each process.
     pub fn samples(&self) -> Result<Vec<Sample>, Box<dyn Error>> {
         self.processes.iter().map(|(role, child)| sample(role, child.id())).collect()
     }
@@ -62,7 +62,7 @@
 impl Drop for Roles {
     fn drop(&mut self) {
         for (_, child) in &mut self.processes {
-            // A process that has ended already needs nothing more.
+            // Killing fails only if the process has already ended.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -89,10 +89,10 @@
 }
 
 fn spawn(folder: &Path, settings: &Value) -> Result<Child, Box<dyn Error>> {
-    let name = settings["node"].as_str().ok_or("settings without a node")?;
+    let name = settings["node"].as_str().ok_or("settings have no `node`")?;
     let path = folder.join(format!("{name}.yaml"));
     std::fs::write(&path, settings.to_string())?;
-    let child = Command::new(binary()?)
+    let child = Command::new(binary_path()?)
         .arg("run")
         .arg(path)
         .stdin(Stdio::null())
@@ -102,10 +102,11 @@
     Ok(child)
 }
 
-/// The binary of the same build as this example.
-fn binary() -> Result<PathBuf, Box<dyn Error>> {
+/// Returns the path of the `yuccatack` binary of the same build profile as this example.
+fn binary_path() -> Result<PathBuf, Box<dyn Error>> {
     let example = std::env::current_exe()?;
-    let folder = example.parent().and_then(Path::parent).ok_or("no target folder")?;
+    let folder =
+        example.parent().and_then(Path::parent).ok_or("the example is not in a target folder")?;
     Ok(folder.join("yuccatack"))
 }
 
@@ -121,7 +122,8 @@
             accelerator_count: 8,
         },
     };
-    // Workers start at different replicas, as they would behind a list in another order each.
+    // Each worker lists the replicas in another order, so that they connect to different ones
+    // first.
     let mut control_addresses = control.to_vec();
     control_addresses.rotate_left(number % control.len());
     Ok(WorkerStandIn::start(WorkerSettings {
--- a/examples/quick_start/deployment.rs
+++ b/examples/quick_start/deployment.rs
@@ -1,4 +1,4 @@
-//! A whole deployment as tasks of one process, on loopback ports and a temporary data folder.
+//! A complete deployment in one process, with loopback ports and a temporary data folder.
 
 use std::error::Error;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -13,9 +13,9 @@
 
 type RoleTask = JoinHandle<Result<(), String>>;
 
-/// The running roles and stand-ins.
+/// The running roles and the test doubles of a minion and a worker.
 pub struct Deployment {
-    /// Where callers and operators connect.
+    /// Address of the entry, for callers and operators.
     pub entry_address: SocketAddr,
     trigger: ShutdownTrigger,
     roles: Vec<RoleTask>,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Drains every role and waits for its end.
+    /// Drains every role and waits until each has ended.
     pub async fn stop(self) -> Result<(), Box<dyn Error>> {
         self.trigger.advance(ShutdownPhase::Draining);
         for role in self.roles {
@@ -69,17 +69,21 @@
     tokio::spawn(async move { role.await.map_err(|error| error.to_string()) })
 }
 
-/// Asks the system for ports that are free now; the listeners are closed before the roles start.
+/// Returns loopback addresses with free ports. The listeners that found them are closed again
+/// before the roles start.
 fn free_addresses<const COUNT: usize>() -> Result<[SocketAddr; COUNT], Box<dyn Error>> {
     let listeners: Vec<TcpListener> = (0..COUNT)
         .map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
         .collect::<Result<_, _>>()?;
     let addresses: Vec<SocketAddr> =
         listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-    addresses.try_into().map_err(|_| "the number of addresses differs".into())
+    addresses
+        .try_into()
+        .map_err(|_| "the number of free addresses differs from the requested number".into())
 }
 
-/// A worker like those of the timing association: 32 cores, 128 GB and 8 accelerators.
+/// Returns the settings of a worker with 32 cores, 128 GB and 8 accelerators, as in
+/// `examples/timing`.
 fn worker_settings(control: SocketAddr) -> Result<WorkerSettings, Box<dyn Error>> {
     let registration = WorkerRegistration {
         worker: WorkerName::new("worker-1")?,
--- a/examples/quick_start/main.rs
+++ b/examples/quick_start/main.rs
@@ -1,5 +1,6 @@
-//! Runs every role and both stand-ins in one process on loopback ports, submits an organisation, a
-//! guarantee, a job and a request, prints each outcome and ends by itself.
+//! Runs every role and test doubles of a minion and a worker in one process on loopback ports.
+//! Submits an organisation, a service, a guarantee, a job and a request, prints each outcome and
+//! stops.
 //!
 //! `cargo run --example quick_start`
 
@@ -15,8 +16,9 @@
 
 use deployment::Deployment;
 
-/// Longer than an election, the first heartbeat of a worker and the run of the job together.
-const STEP_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of each step; longer than an election, the first heartbeat of a worker and the run of
+/// the job together.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -77,12 +79,13 @@
     })
 }
 
-/// Submits a record once the entry can reach a control leader and prints the outcome.
+/// Submits a record, retries until the control leader has decided, and prints the outcome.
 ///
-/// Every try carries the same change id, so that a try whose answer was lost is not applied twice.
+/// Every attempt has the same change id, so that a change whose response was lost is not applied
+/// twice.
 async fn submit(operator: &CallerStandIn, kind: &str, record: Value) -> Result<(), Box<dyn Error>> {
     let change_id = format!("quick-start-{kind}");
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = operator.change(&change_id, "submit", 0, record.clone()).await;
         if let Ok(answer) = &answer
@@ -103,9 +106,9 @@
     }
 }
 
-/// Waits for the first worker; a guarantee is accepted only on capacity that exists.
+/// Waits for the first worker, because a guarantee is accepted only if the capacity for it exists.
 async fn wait_for_worker(operator: &CallerStandIn) -> Result<(), Box<dyn Error>> {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let status = operator.get("/v1/status").await?.json();
         if status["workers"].as_array().is_some_and(|workers| !workers.is_empty()) {
@@ -119,7 +122,7 @@
 }
 
 async fn wait_for_job(operator: &CallerStandIn, job: &str) -> Result<String, Box<dyn Error>> {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = operator.get(&format!("/v1/jobs/{job}/explanation")).await?;
         let document = answer.json();
@@ -134,9 +137,9 @@
     }
 }
 
-/// Sends a request until a minion has announced itself; a "not run" may always be sent again.
+/// Sends a request until a minion is ready. Resending is safe after the outcome "not run".
 async fn wait_for_request(caller: &CallerStandIn) -> Result<String, Box<dyn Error>> {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = caller.request("putrajaya-club", "results", "split of bib 17".into()).await?;
         if answer.outcome() == Some("completed") {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `yuccatack` binary: every process role and the operators' commands.
+//! The `yuccatack` binary, which runs every process role and the commands for operators.
 
 use std::process::ExitCode;
 
--- a/tools/ci/src/main.rs
+++ b/tools/ci/src/main.rs
@@ -1,12 +1,12 @@
-//! Runs the checks that a change must pass: format, lint, tests and documentation.
+//! Runs the checks that a change must pass: formatting, lints, tests and documentation.
 //!
-//! `cargo run --package ci` runs all of them, `cargo run --package ci -- test` only the named ones.
-//! Tests listed in `KNOWN-RED.txt` are printed and passed over; every other test must pass.
+//! `cargo run --package ci` runs all checks, `cargo run --package ci -- test` only the named ones.
+//! Tests listed in `KNOWN-RED.txt` are printed and skipped; every other test must pass.
 
 use std::path::Path;
 use std::process::{Command, ExitCode};
 
-/// One group of checks.
+/// A check that runs as one cargo command.
 #[derive(Clone, Copy)]
 enum Check {
     Format,
@@ -41,7 +41,7 @@
                 .args(["--deny", "warnings"]),
             Self::Test => command
                 .args(["test", "--workspace", "--locked", "--no-fail-fast", "--"])
-                .args(known_red_arguments(root)),
+                .args(known_failure_arguments(root)),
             Self::Documentation => command
                 .args(["doc", "--workspace", "--no-deps", "--locked"])
                 .env("RUSTDOCFLAGS", "--deny warnings"),
@@ -50,8 +50,8 @@
     }
 }
 
-/// Reads the `test:` lines of `KNOWN-RED.txt` and turns them into arguments of the test runner.
-fn known_red_arguments(root: &Path) -> Vec<String> {
+/// Converts the `test:` lines of `KNOWN-RED.txt` into `--skip` arguments of the test runner.
+fn known_failure_arguments(root: &Path) -> Vec<String> {
     let list = std::fs::read_to_string(root.join("KNOWN-RED.txt")).unwrap_or_default();
     let names: Vec<&str> = list.lines().filter_map(|line| line.strip_prefix("test:")).collect();
     if names.is_empty() {
@@ -59,7 +59,7 @@
     }
     let mut arguments = vec!["--exact".to_owned()];
     for name in names {
-        eprintln!("known red, passed over: {}", name.trim());
+        eprintln!("known failure in KNOWN-RED.txt, skipped: {}", name.trim());
         arguments.push("--skip".to_owned());
         arguments.push(name.trim().to_owned());
     }
@@ -72,7 +72,7 @@
     let mut checks = Vec::new();
     for name in &names {
         let Some(check) = Check::from_name(name) else {
-            eprintln!("unknown check `{name}`; known are format, lint, test, doc");
+            eprintln!("unknown check `{name}`; use format, lint, test or doc");
             return ExitCode::from(2);
         };
         checks.push(check);
@@ -89,7 +89,7 @@
                 return ExitCode::FAILURE;
             }
             Err(error) => {
-                eprintln!("check {} could not start cargo: {error}", check.name());
+                eprintln!("check {} failed to start cargo: {error}", check.name());
                 return ExitCode::FAILURE;
             }
         }
--- a/tools/codegen/src/main.rs
+++ b/tools/codegen/src/main.rs
@@ -1,4 +1,4 @@
-//! Regenerates the committed `tonic` code from the `.proto` file of each crate.
+//! Regenerates the committed `tonic` code from the `.proto` files of the crates.
 //!
 //! Run with `cargo run --package codegen` after a change to a `.proto` file.
 
@@ -6,7 +6,8 @@
 use std::path::Path;
 use std::process::Command;
 
-/// The crates that own a wire protocol; each has `proto/<name>.proto` and `src/generated/`.
+/// Pairs of a crate and its protocol. The source is `proto/<protocol>.proto`, the generated code is
+/// in `src/generated/`.
 const PROTOCOLS: [(&str, &str); 7] = [
     ("yuccatack_records", "records"),
     ("yuccatack_view", "view"),
@@ -22,10 +23,12 @@
     for (crate_name, protocol) in PROTOCOLS {
         generate(&crates.join(crate_name), protocol)?;
     }
-    // The formatter check covers the generated files too.
+    // The formatting check includes the generated files.
     let status = Command::new(env!("CARGO")).args(["fmt", "--all"]).status()?;
     if !status.success() {
-        return Err(format!("cargo fmt ended with {status}").into());
+        return Err(
+            format!("cannot format the generated code: cargo fmt failed with {status}").into()
+        );
     }
     Ok(())
 }
