--- a/tests/graceful_stop.rs
+++ b/tests/graceful_stop.rs
@@ -1,4 +1,5 @@
-//! Guards against a planned stop that cuts a request in flight or ends with an error.
+//! Guards against a stop by SIGTERM that interrupts a request in flight or exits with an error:
+//! each role is stopped while a slow request runs.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,7 +11,7 @@
 use yuccatack_stand_ins::MinionBehaviour;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn terminate_cuts_nothing() {
+async fn requests_complete_after_sigterm() {
     for name in ["entry-1", "agent-1", "control-1"] {
         let mut deployment = Deployment::start(1).await;
         let operator = deployment.operator();
@@ -27,8 +28,12 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         deployment.signal(name, "-TERM");
         let answer = in_flight.await.unwrap().unwrap();
-        assert_eq!(answer.outcome(), Some("completed"), "{name} cut a request: {answer:?}");
+        assert_eq!(
+            answer.outcome(),
+            Some("completed"),
+            "the stop of {name} interrupted a request: {answer:?}"
+        );
         let status = deployment.wait_for_exit(name);
-        assert_eq!(status.code(), Some(0), "{name} ended with {status}");
+        assert_eq!(status.code(), Some(0), "{name} exited with {status}");
     }
 }
--- a/tests/leader_freeze.rs
+++ b/tests/leader_freeze.rs
@@ -1,5 +1,6 @@
-//! Guards against a control leader that is stopped for longer than an election and a lease and then
-//! acts on its old state: reverted changes, old records, or a second run of a job.
+//! Guards against a control leader that acts on stale state after it was stopped with SIGSTOP for
+//! longer than an election and a lease: reverted changes, reads of old records, or a second run of
+//! a job.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -19,23 +20,24 @@
 
 /// Longer than an election (0.5 s) and a lease with its margin (6.5 s).
 const FREEZE_TIME: Duration = Duration::from_secs(8);
-/// How long the woken replica is asked for records.
+/// Time over which records are read from the resumed replica.
 const READ_TIME: Duration = Duration::from_secs(3);
 const READER_COUNT: usize = 8;
-/// Reads start this long before the replica wakes.
-const READ_LEAD: Duration = Duration::from_millis(200);
+/// Time from the start of the reads until the replica is resumed.
+const READ_LEAD_TIME: Duration = Duration::from_millis(200);
 const READ_INTERVAL: Duration = Duration::from_millis(10);
 const SERVICE_PATH: &str = "/v1/records/service/results";
-/// A job that is started before the freeze ends after it.
+/// Run time with which a job that starts before the freeze ends after it.
 const LONG_RUN_TIME: DurationMs = DurationMs::new(9_500);
 const JOB_COUNT: usize = 3;
 
-/// Replaces generations of the service one by one and returns the last accepted one.
+/// Replaces `count` generations of the service, one after another, and returns the last accepted
+/// one.
 async fn change_service(operator: &CallerStandIn, first: u64, count: u64) -> u64 {
     for generation in first..first + count {
         let id = format!("service-change-{generation}");
         let record = service_with(generation + 1);
-        let deadline = Instant::now() + support::STEP_LIMIT;
+        let deadline = Instant::now() + support::STEP_TIMEOUT;
         loop {
             let answer = operator.change(&id, "change", generation, record.clone()).await;
             if let Ok(answer) = &answer
@@ -53,15 +55,16 @@
     first + count
 }
 
-/// The service with a value that tells its generations apart.
+/// Returns the service record with a queue length that identifies its generation.
 fn service_with(generation: u64) -> Value {
     let mut record = service();
     record["queue_length_count"] = Value::from(100 + generation);
     record
 }
 
-/// Reads the service over and over and requires that no answer is older than `oldest`.
-async fn read_only_new(reader: CallerStandIn, oldest: u64) -> BTreeMap<String, usize> {
+/// Reads the service repeatedly, checks that no response is older than `oldest`, and counts the
+/// results.
+async fn read_fresh(reader: CallerStandIn, oldest: u64) -> BTreeMap<String, usize> {
     let deadline = Instant::now() + READ_TIME;
     let mut counts = BTreeMap::new();
     while Instant::now() < deadline {
@@ -70,7 +73,10 @@
             Ok(answer) if answer.status.is_success() => {
                 let document = answer.json();
                 let generation = document["generation"].as_u64().unwrap();
-                assert!(generation >= oldest, "an old record was read: {document}");
+                assert!(
+                    generation >= oldest,
+                    "a record older than generation {oldest} was read: {document}"
+                );
                 assert_eq!(document["record"], service_with(generation));
                 "read".to_owned()
             }
@@ -84,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn woken_leader_acts_on_nothing_old() {
+async fn resumed_leader_is_harmless() {
     let mut deployment = Deployment::start(3).await;
     let operator = deployment.operator();
     submit(&operator, "organisation-1", organisation()).await;
@@ -101,15 +107,15 @@
     wait_for_job(&operator, "rank-long", "running").await;
 
     let old_leader = wait_for_leader(&operator, None).await;
-    // An entry that knows only the stopped replica reads from it as soon as it wakes.
+    // An entry that knows only the stopped replica reads from it as soon as it is resumed.
     let old_address = deployment.control_addresses[usize::try_from(old_leader).unwrap() - 1];
-    let direct = deployment.add_entry_of(&[old_address]);
+    let direct = deployment.add_entry_with(&[old_address]);
     wait_for_leader(&direct, None).await;
     let old_name = format!("control-{old_leader}");
     deployment.signal(&old_name, "-STOP");
     let frozen_at = Instant::now();
     let new_leader = wait_for_leader(&operator, Some(old_leader)).await;
-    eprintln!("control-{new_leader} leads {:?} after the stop", frozen_at.elapsed());
+    eprintln!("control-{new_leader} is the leader {:?} after SIGSTOP", frozen_at.elapsed());
     let meanwhile = change_service(&operator, before, 5).await;
     for number in 0..JOB_COUNT {
         submit(&operator, &format!("job-{number}"), job(&format!("rank-{number}"))).await;
@@ -118,19 +124,19 @@
 
     let mut reading = JoinSet::new();
     for _ in 0..READER_COUNT {
-        reading.spawn(read_only_new(direct.clone(), meanwhile));
-        reading.spawn(read_only_new(operator.clone(), meanwhile));
+        reading.spawn(read_fresh(direct.clone(), meanwhile));
+        reading.spawn(read_fresh(operator.clone(), meanwhile));
     }
-    // The reads through the second entry wait at the stopped replica when it wakes.
-    tokio::time::sleep(READ_LEAD).await;
+    // The reads through the second entry are waiting at the stopped replica when it is resumed.
+    tokio::time::sleep(READ_LEAD_TIME).await;
     deployment.signal(&old_name, "-CONT");
     let after = change_service(&operator, meanwhile, 5).await;
     let mut reads: BTreeMap<String, usize> = BTreeMap::new();
     for (name, count) in reading.join_all().await.into_iter().flatten() {
         *reads.entry(name).or_insert(0) += count;
     }
-    eprintln!("reads after the wake-up: {reads:?}");
-    assert!(reads.contains_key("read"), "nothing was read: {reads:?}");
+    eprintln!("reads around SIGCONT: {reads:?}");
+    assert!(reads.contains_key("read"), "no read succeeded: {reads:?}");
 
     let stored = operator.get(SERVICE_PATH).await.unwrap().json();
     assert_eq!(stored["generation"], after);
--- a/tests/metrics_scrape.rs
+++ b/tests/metrics_scrape.rs
@@ -1,4 +1,5 @@
-//! Guards against roles that do not serve their metrics, readiness and burn report.
+//! Guards against a role that does not serve its health, readiness, burn report or metrics, and
+//! against requests and jobs that the metrics do not count.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -9,7 +10,7 @@
 
 use serde_json::json;
 use support::{
-    Deployment, STEP_LIMIT, complete_request, job, organisation, service, submit, wait_for_job,
+    Deployment, STEP_TIMEOUT, complete_request, job, organisation, service, submit, wait_for_job,
     wait_for_worker,
 };
 use yuccatack_stand_ins::CallerStandIn;
@@ -21,19 +22,19 @@
 }
 
 async fn wait_until_ready(address: SocketAddr) {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = CallerStandIn::new(address).get("/ready").await.unwrap();
         if answer.status.is_success() {
             return;
         }
-        assert!(Instant::now() < deadline, "{address} is not ready: {answer:?}");
+        assert!(Instant::now() < deadline, "{address} was not ready in time: {answer:?}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn roles_show_their_work() {
+async fn roles_serve_metrics() {
     let deployment = Deployment::start(1).await;
     let operator = deployment.operator();
     submit(&operator, "organisation-1", organisation()).await;
@@ -48,7 +49,9 @@
     wait_for_job(&operator, "rank-1", "succeeded").await;
     complete_request(&operator, "bib 1").await;
 
-    let [control, entry, agent] = deployment.metrics_addresses[..] else { panic!("three roles") };
+    let [control, entry, agent] = deployment.metrics_addresses[..] else {
+        panic!("expected the metrics addresses of three roles")
+    };
     for address in [control, entry, agent] {
         scrape(address, "/health").await;
         wait_until_ready(address).await;
--- a/tests/minion_departure.rs
+++ b/tests/minion_departure.rs
@@ -1,5 +1,5 @@
-//! Guards against new work for a minion whose agent announced its departure, was killed, or
-//! went silent.
+//! Guards against new requests for a minion whose agent is draining after SIGTERM, was killed, or
+//! was stopped with SIGSTOP, while two entries send load to it and to another minion.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -13,47 +13,48 @@
 use tokio::time::MissedTickBehavior;
 use yuccatack_stand_ins::{CallerAnswer, CallerStandIn, MinionBehaviour, MinionRun, MinionStandIn};
 
-/// A departing minion gets no new work after this time.
+/// Time after the signal from which the minion must get no new requests.
 const DEPARTURE_LIMIT: Duration = Duration::from_secs(3);
-/// Longer than the limit, so that a call after it is seen.
-const WATCH_TIME: Duration = Duration::from_secs(5);
-/// Load before the signal, so that calls are in flight when it comes.
+/// Longer than `DEPARTURE_LIMIT`, so that a call after the limit is observed.
+const OBSERVATION_TIME: Duration = Duration::from_secs(5);
+/// Duration of the load before the signal, so that requests are in flight when it arrives.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// 100 requests a second.
-const SENDING_INTERVAL: Duration = Duration::from_millis(10);
-/// The resolution of the measured time.
+/// Interval of 100 requests per second.
+const SUBMISSION_INTERVAL: Duration = Duration::from_millis(10);
+/// Resolution of the measured times.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// An entry waits this long for a silent agent; a call that takes less was not sent to one.
-const SILENCE: Duration = Duration::from_secs(1);
-/// The load takes a quarter of the remaining minion's slots, so that a refusal is not for their lack.
+/// Time that an entry waits for an agent that does not respond. A shorter call was not sent to one.
+const AGENT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Run time at which the load takes a quarter of the slots of the remaining minion, so that no
+/// request is refused for lack of slots.
 const RUN_TIME: Duration = Duration::from_millis(20);
 
-/// A request that was answered.
+/// A request and its response.
 #[derive(Debug)]
 struct Call {
     sent_at: Instant,
-    time: Duration,
+    latency: Duration,
     body: String,
     answer: CallerAnswer,
 }
 
-/// Longer than the departure limit, so that the agent still drains when the limit has passed.
-const HELD_RUN_TIME: Duration = Duration::from_millis(4_000);
-const HELD_COUNT: usize = 6;
-/// The held requests reach their minions within this time.
-const HOLD_LEAD: Duration = Duration::from_millis(150);
+/// Longer than `DEPARTURE_LIMIT`, so that the agent is still draining when the limit has passed.
+const LONG_RUN_TIME: Duration = Duration::from_millis(4_000);
+const LONG_REQUEST_COUNT: usize = 6;
+/// Time within which the long requests reach their minions.
+const LONG_REQUEST_LEAD_TIME: Duration = Duration::from_millis(150);
 
 async fn call(entry: CallerStandIn, body: String) -> Call {
     let sent_at = Instant::now();
     let answer = entry.request("putrajaya-club", "results", body.clone().into()).await.unwrap();
-    Call { sent_at, time: sent_at.elapsed(), body, answer }
+    Call { sent_at, latency: sent_at.elapsed(), body, answer }
 }
 
 /// Sends idempotent requests through both entries.
-async fn load(entries: [CallerStandIn; 2], time: Duration) -> Vec<Call> {
+async fn load(entries: [CallerStandIn; 2], duration: Duration) -> Vec<Call> {
     let mut calls = JoinSet::new();
-    let end = Instant::now() + time;
-    let mut ticks = tokio::time::interval(SENDING_INTERVAL);
+    let end = Instant::now() + duration;
+    let mut ticks = tokio::time::interval(SUBMISSION_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while Instant::now() < end {
         ticks.tick().await;
@@ -63,8 +64,8 @@
     calls.join_all().await
 }
 
-/// Counts the outcomes and checks the answers.
-fn outcomes(calls: &[Call]) -> BTreeMap<String, usize> {
+/// Counts the outcomes by reason and checks the bodies of completed requests.
+fn count_outcomes(calls: &[Call]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for Call { body, answer, .. } in calls {
         let outcome = answer.outcome().unwrap();
@@ -77,10 +78,15 @@
     counts
 }
 
-/// The time from the signal until the last call reaches the minion, and how many do.
-async fn watch(minion: &MinionStandIn, start: Instant, first_count: usize) -> (Duration, usize) {
+/// Returns the time from the signal to the last run that the minion starts, and the number of these
+/// runs.
+async fn last_run_after(
+    minion: &MinionStandIn,
+    start: Instant,
+    first_count: usize,
+) -> (Duration, usize) {
     let (mut last, mut count) = (Duration::ZERO, first_count);
-    while start.elapsed() < WATCH_TIME {
+    while start.elapsed() < OBSERVATION_TIME {
         tokio::time::sleep(POLL_INTERVAL).await;
         let now_count = minion.runs().await.len();
         if now_count > count {
@@ -90,115 +96,126 @@
     (last, count - first_count)
 }
 
-/// A deployment with two entries and two agents under load; `agent-2` is the one to leave.
-struct Scene {
+/// A deployment with two entries and two agents under load. The test stops `agent-2` and observes
+/// its minion, `departing`.
+struct Scenario {
     deployment: Deployment,
-    leaving: MinionStandIn,
+    departing: MinionStandIn,
     load: JoinHandle<Vec<Call>>,
 }
 
-impl Scene {
+impl Scenario {
     async fn start() -> Self {
         let mut deployment = Deployment::start(1).await;
         let entries = [deployment.operator(), deployment.add_second_entry()];
         let behaviour = MinionBehaviour { delay: RUN_TIME, ..MinionBehaviour::default() };
         deployment.minion.set_behaviour(behaviour);
-        let leaving = MinionStandIn::start(behaviour).await.unwrap();
-        deployment.add_further_agent(2, leaving.address());
+        let departing = MinionStandIn::start(behaviour).await.unwrap();
+        deployment.add_agent_for(2, departing.address());
         submit(&entries[0], "organisation-1", organisation()).await;
         submit(&entries[0], "service-1", service()).await;
         wait_for_minions(&entries[0], 2).await;
         for entry in &entries {
             complete_request(entry, "first").await;
         }
-        let load = tokio::spawn(load(entries, WARM_UP + WATCH_TIME));
+        let load = tokio::spawn(load(entries, WARM_UP + OBSERVATION_TIME));
         tokio::time::sleep(WARM_UP).await;
-        assert!(leaving.runs().await.len() > 10, "the leaving minion had no work before");
-        Self { deployment, leaving, load }
+        assert!(
+            departing.runs().await.len() > 10,
+            "the departing minion got no load before the signal"
+        );
+        Self { deployment, departing, load }
     }
 }
 
-/// Starts non-idempotent requests, some of which keep the leaving agent in its drain.
-async fn hold_open(scene: &Scene) -> JoinSet<CallerAnswer> {
-    let delay = HELD_RUN_TIME;
-    scene.leaving.set_behaviour(MinionBehaviour { delay, ..MinionBehaviour::default() });
+/// Starts long non-idempotent requests, so that some keep the departing agent draining.
+async fn start_long_requests(scenario: &Scenario) -> JoinSet<CallerAnswer> {
+    let delay = LONG_RUN_TIME;
+    scenario.departing.set_behaviour(MinionBehaviour { delay, ..MinionBehaviour::default() });
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
-    let mut held = JoinSet::new();
-    for number in 0..HELD_COUNT {
-        let caller = scene.deployment.operator();
-        held.spawn(async move {
+    let mut requests = JoinSet::new();
+    for number in 0..LONG_REQUEST_COUNT {
+        let caller = scenario.deployment.operator();
+        requests.spawn(async move {
             let key = format!("{now_ms}-held-{number}");
             let body = key.clone().into();
             caller.request_once("putrajaya-club", "results", &key, body).await.unwrap()
         });
     }
-    tokio::time::sleep(HOLD_LEAD).await;
+    tokio::time::sleep(LONG_REQUEST_LEAD_TIME).await;
     let delay = RUN_TIME;
-    scene.leaving.set_behaviour(MinionBehaviour { delay, ..MinionBehaviour::default() });
-    let runs = scene.leaving.runs().await;
-    let is_held = |run: &MinionRun| run.body.windows(6).any(|part| part == b"-held-");
-    assert!(runs.iter().any(is_held), "no request keeps the agent in its drain");
-    held
+    scenario.departing.set_behaviour(MinionBehaviour { delay, ..MinionBehaviour::default() });
+    let runs = scenario.departing.runs().await;
+    let is_long = |run: &MinionRun| run.body.windows(6).any(|part| part == b"-held-");
+    assert!(runs.iter().any(is_long), "no long request reached the departing minion");
+    requests
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_new_work_after_terminate() {
-    let mut scene = Scene::start().await;
-    let held = hold_open(&scene).await;
-    let run_count = scene.leaving.runs().await.len();
+    let mut scenario = Scenario::start().await;
+    let long_requests = start_long_requests(&scenario).await;
+    let run_count = scenario.departing.runs().await.len();
     let signalled_at = Instant::now();
-    scene.deployment.signal("agent-2", "-TERM");
-    let (last, count) = watch(&scene.leaving, signalled_at, run_count).await;
-    let counts = outcomes(&scene.load.await.unwrap());
+    scenario.deployment.signal("agent-2", "-TERM");
+    let (last, count) = last_run_after(&scenario.departing, signalled_at, run_count).await;
+    let counts = count_outcomes(&scenario.load.await.unwrap());
     eprintln!("SIGTERM: {count} more calls, the last after {last:?}; outcomes {counts:?}");
     assert!(last <= DEPARTURE_LIMIT, "a call reached the minion {last:?} after SIGTERM");
-    for answer in held.join_all().await {
-        assert_eq!(answer.outcome(), Some("completed"), "a held request was cut: {answer:?}");
+    for answer in long_requests.join_all().await {
+        assert_eq!(
+            answer.outcome(),
+            Some("completed"),
+            "a long request was interrupted: {answer:?}"
+        );
     }
-    // A planned stop interrupts nothing, and another minion takes every call.
+    // The drain must interrupt nothing, and the other minion must take every new call.
     assert_eq!(counts.keys().collect::<Vec<_>>(), ["completed"], "{counts:?}");
-    assert_eq!(scene.deployment.wait_for_exit("agent-2").code(), Some(0));
+    assert_eq!(scenario.deployment.wait_for_exit("agent-2").code(), Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_new_work_after_kill() {
-    let mut scene = Scene::start().await;
-    let run_count = scene.leaving.runs().await.len();
+    let mut scenario = Scenario::start().await;
+    let run_count = scenario.departing.runs().await.len();
     let signalled_at = Instant::now();
-    scene.deployment.kill("agent-2");
-    let (last, count) = watch(&scene.leaving, signalled_at, run_count).await;
-    let counts = outcomes(&scene.load.await.unwrap());
+    scenario.deployment.kill("agent-2");
+    let (last, count) = last_run_after(&scenario.departing, signalled_at, run_count).await;
+    let counts = count_outcomes(&scenario.load.await.unwrap());
     eprintln!("SIGKILL: {count} more calls, the last after {last:?}; outcomes {counts:?}");
     assert!(last <= DEPARTURE_LIMIT, "a call reached the minion {last:?} after SIGKILL");
-    // Idempotent requests are sent to another minion when their agent is lost.
+    // Idempotent requests must be retried at the other minion after the loss of the agent.
     assert_eq!(counts.keys().collect::<Vec<_>>(), ["completed"], "{counts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_new_work_after_silence() {
-    let mut scene = Scene::start().await;
-    let run_count = scene.leaving.runs().await.len();
+    let mut scenario = Scenario::start().await;
+    let run_count = scenario.departing.runs().await.len();
     let signalled_at = Instant::now();
-    scene.deployment.signal("agent-2", "-STOP");
-    let (last, count) = watch(&scene.leaving, signalled_at, run_count).await;
-    let calls = scene.load.await.unwrap();
-    let counts = outcomes(&calls);
-    let held: Vec<Duration> = calls
+    scenario.deployment.signal("agent-2", "-STOP");
+    let (last, count) = last_run_after(&scenario.departing, signalled_at, run_count).await;
+    let calls = scenario.load.await.unwrap();
+    let counts = count_outcomes(&calls);
+    let stalled: Vec<Duration> = calls
         .iter()
-        .filter(|call| call.time >= SILENCE)
+        .filter(|call| call.latency >= AGENT_RESPONSE_TIMEOUT)
         .map(|call| call.sent_at.saturating_duration_since(signalled_at))
         .collect();
-    let last_held = held.iter().max().copied().unwrap_or_default();
+    let last_stalled = stalled.iter().max().copied().unwrap_or_default();
     eprintln!("SIGSTOP: {count} more calls, the last after {last:?}; outcomes {counts:?}");
-    eprintln!("SIGSTOP: {} calls to the silent agent, the last after {last_held:?}", held.len());
+    eprintln!(
+        "SIGSTOP: {} calls to the stopped agent, the last after {last_stalled:?}",
+        stalled.len()
+    );
     assert!(last <= DEPARTURE_LIMIT, "a call reached the minion {last:?} after SIGSTOP");
     assert!(
-        last_held <= DEPARTURE_LIMIT,
-        "a call was sent to the silent agent {last_held:?} after"
+        last_stalled <= DEPARTURE_LIMIT,
+        "a call was sent to the stopped agent {last_stalled:?} after SIGSTOP"
     );
-    let resumed_count = scene.leaving.runs().await.len();
-    scene.deployment.signal("agent-2", "-CONT");
-    tokio::time::sleep(SILENCE).await;
-    let late = scene.leaving.runs().await.split_off(resumed_count);
-    assert!(late.is_empty(), "calls that were answered elsewhere ran late: {late:?}");
+    let resumed_count = scenario.departing.runs().await.len();
+    scenario.deployment.signal("agent-2", "-CONT");
+    tokio::time::sleep(AGENT_RESPONSE_TIMEOUT).await;
+    let late = scenario.departing.runs().await.split_off(resumed_count);
+    assert!(late.is_empty(), "calls that the other minion answered ran after SIGCONT: {late:?}");
 }
--- a/tests/operator_path.rs
+++ b/tests/operator_path.rs
@@ -1,5 +1,5 @@
-//! Guards against a command line and an entry that understand different messages, and against exit
-//! codes that tell an operator something else than what happened.
+//! Guards against a command line and an entry that disagree on the format of messages, and against
+//! exit codes and messages that do not match the outcome of a command.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -11,9 +11,9 @@
 use std::time::Instant;
 
 use serde_json::Value;
-use support::{Deployment, STEP_LIMIT, organisation};
+use support::{Deployment, STEP_TIMEOUT, organisation};
 
-/// Runs operators' commands against one entry.
+/// Runs commands of the `yuccatack` binary against one entry.
 struct Operator {
     entry_address: SocketAddr,
 }
@@ -53,9 +53,9 @@
     }
 
     fn wait_until_answered(&self) {
-        let deadline = Instant::now() + STEP_LIMIT;
+        let deadline = Instant::now() + STEP_TIMEOUT;
         while self.run(&["status"]).code != 0 {
-            assert!(Instant::now() < deadline, "no status in time");
+            assert!(Instant::now() < deadline, "the entry did not return a status in time");
         }
     }
 }
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn record_from_apply_to_withdrawal() {
+async fn record_lifecycle() {
     let deployment = Deployment::start(1).await;
     let operator = Operator { entry_address: deployment.entry_address };
     operator.wait_until_answered();
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn failed_processes_named() {
+async fn unreachable_roles_reported() {
     let mut deployment = Deployment::start(1).await;
     let operator = Operator { entry_address: deployment.entry_address };
     operator.wait_until_answered();
--- a/tests/role_restart.rs
+++ b/tests/role_restart.rs
@@ -1,4 +1,5 @@
-//! Guards against a path that stays broken, or state that is lost, after a process was killed.
+//! Guards against requests and jobs that keep failing, and against lost state, after a process was
+//! killed and restarted.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -9,7 +10,7 @@
 };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn path_survives_kills() {
+async fn recovery_from_role_kills() {
     let mut deployment = Deployment::start(1).await;
     let operator = deployment.operator();
     submit(&operator, "organisation-1", organisation()).await;
@@ -26,14 +27,14 @@
         let job_name = format!("rank-after-{round}");
         submit(&operator, &format!("job-after-{round}"), job(&job_name)).await;
         wait_for_job(&operator, &job_name, "succeeded").await;
-        // A resend of an old change gets its first answer, so nothing was lost or applied twice.
+        // A resend of an old change must get the first response: nothing was lost or applied twice.
         assert_eq!(submit(&operator, "service-1", service()).await, first);
         wait_for_job(&operator, "rank-1", "succeeded").await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn leader_kill_with_three_replicas() {
+async fn recovery_from_replica_kills() {
     let mut deployment = Deployment::start(3).await;
     let operator = deployment.operator();
     submit(&operator, "organisation-1", organisation()).await;
--- a/tests/support/minion_port.rs
+++ b/tests/support/minion_proxy.rs
@@ -1,5 +1,5 @@
-//! A port in front of a minion stand-in that closes and opens again, as a minion does that is
-//! killed and restarted, while the stand-in keeps its list of runs.
+//! A TCP proxy in front of a minion test double. Closing and opening it looks like a kill and a
+//! restart of the minion, while the test double keeps its list of runs.
 
 use std::net::SocketAddr;
 
@@ -7,19 +7,19 @@
 use tokio::task::{JoinHandle, JoinSet};
 use yuccatack_stand_ins::MinionStandIn;
 
-/// Passes bytes between an agent and a minion stand-in.
-pub struct MinionPort {
+/// Forwards connections of an agent to a minion test double.
+pub struct MinionProxy {
     address: SocketAddr,
     minion: SocketAddr,
     server: JoinHandle<()>,
 }
 
-impl MinionPort {
+impl MinionProxy {
     pub async fn start(minion: &MinionStandIn) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let minion = minion.address();
-        Self { address, minion, server: tokio::spawn(pass(listener, minion)) }
+        Self { address, minion, server: tokio::spawn(forward(listener, minion)) }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -35,17 +35,17 @@
     /// Accepts connections at the same address again.
     pub async fn open(&mut self) {
         let listener = TcpListener::bind(self.address).await.unwrap();
-        self.server = tokio::spawn(pass(listener, self.minion));
+        self.server = tokio::spawn(forward(listener, self.minion));
     }
 }
 
-impl Drop for MinionPort {
+impl Drop for MinionProxy {
     fn drop(&mut self) {
         self.server.abort();
     }
 }
 
-async fn pass(listener: TcpListener, minion: SocketAddr) {
+async fn forward(listener: TcpListener, minion: SocketAddr) {
     // Dropping the set with this task breaks every connection.
     let mut connections = JoinSet::new();
     loop {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,8 +1,9 @@
-//! Starts the roles as separate processes on loopback ports, with stand-ins inside the test.
+//! Starts the roles as separate processes on loopback ports, with test doubles of workers and
+//! minions in the test process.
 
 #![allow(clippy::unwrap_used, dead_code, missing_docs)]
 
-pub mod minion_port;
+pub mod minion_proxy;
 mod steps;
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -21,11 +22,11 @@
 
 pub use steps::*;
 
-/// Longer than an election and the first report of every process together.
-pub const STEP_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of each step; longer than an election and the first report of every process together.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Log lines of each role that are shown when a test fails.
-const LOG_LINES_SHOWN: usize = 15;
+/// Number of newest log lines of each role that a failed test prints.
+const PRINTED_LOG_LINE_COUNT: usize = 15;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -42,7 +43,7 @@
     processes: Vec<RoleProcess>,
 }
 
-/// One process of the system.
+/// A process that runs one role.
 pub struct RoleProcess {
     pub name: String,
     settings: PathBuf,
@@ -82,20 +83,20 @@
         deployment
     }
 
-    /// Starts a further entry and returns a caller of it.
+    /// Starts a second entry that knows all control replicas, and returns a caller of it.
     pub fn add_second_entry(&mut self) -> CallerStandIn {
-        self.add_entry_of(&self.control_addresses.clone())
+        self.add_entry_with(&self.control_addresses.clone())
     }
 
-    /// Starts a second entry that is told only these control replicas, and returns a caller of it.
-    pub fn add_entry_of(&mut self, control_addresses: &[SocketAddr]) -> CallerStandIn {
+    /// Starts a second entry that knows only these control replicas, and returns a caller of it.
+    pub fn add_entry_with(&mut self, control_addresses: &[SocketAddr]) -> CallerStandIn {
         let address = free_addresses(1)[0];
         self.add_entry(2, address, None, control_addresses);
         CallerStandIn::new(address)
     }
 
-    /// Starts a further agent for the minion at this address.
-    pub fn add_further_agent(&mut self, number: usize, minion_address: SocketAddr) {
+    /// Starts another agent, for the minion at this address.
+    pub fn add_agent_for(&mut self, number: usize, minion_address: SocketAddr) {
         let address = free_addresses(1)[0];
         self.add_agent(number, address, minion_address, None);
     }
@@ -104,7 +105,7 @@
         CallerStandIn::new(self.entry_address)
     }
 
-    /// Kills a process without warning.
+    /// Kills a process with SIGKILL.
     pub fn kill(&mut self, name: &str) {
         let process = self.process(name);
         let mut child = process.child.take().unwrap();
@@ -115,26 +116,26 @@
     /// Starts a process that was killed or stopped.
     pub fn restart(&mut self, name: &str) {
         let process = self.process(name);
-        assert!(process.child.is_none(), "{name} still runs");
+        assert!(process.child.is_none(), "{name} is still running");
         process.child = Some(spawn(&process.settings));
     }
 
-    /// Sends a signal to a process.
+    /// Sends a signal, given as an option of `kill` such as `-TERM`, to a process.
     pub fn signal(&mut self, name: &str, signal: &str) {
         let id = self.process(name).child.as_ref().unwrap().id();
         let status = Command::new("kill").args([signal, &id.to_string()]).status().unwrap();
         assert!(status.success());
     }
 
-    /// Waits until a process has ended by itself.
+    /// Waits until a process has exited without being killed by the test.
     pub fn wait_for_exit(&mut self, name: &str) -> ExitStatus {
-        let deadline = Instant::now() + STEP_LIMIT;
+        let deadline = Instant::now() + STEP_TIMEOUT;
         let mut child = self.process(name).child.take().unwrap();
         loop {
             if let Some(status) = child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < deadline, "{name} did not end in time");
+            assert!(Instant::now() < deadline, "{name} did not exit within 30 s");
             std::thread::sleep(POLL_INTERVAL);
         }
     }
@@ -143,7 +144,7 @@
         self.processes.iter_mut().find(|process| process.name == name).unwrap()
     }
 
-    /// Starts a control replica at the next number with an empty data folder.
+    /// Starts a control replica with the next free number and an empty data folder.
     pub fn add_replacement(&mut self) -> usize {
         let addresses = free_addresses(2);
         self.control_addresses.push(addresses[0]);
@@ -153,8 +154,8 @@
         number
     }
 
-    /// Removes the data folder of a killed control replica, like the loss of its disk.
-    pub fn wipe(&self, number: usize) {
+    /// Deletes the data folder of a killed control replica, which simulates the loss of its disk.
+    pub fn delete_data_folder(&self, number: usize) {
         std::fs::remove_dir_all(self.folder.path().join(format!("data-{number}"))).unwrap();
     }
 
@@ -176,7 +177,7 @@
             "initial_replicas": replicas,
             "metrics_address": (number == 1).then_some(self.metrics_addresses[0]),
         });
-        self.add(format!("control-{number}"), &settings);
+        self.start_process(format!("control-{number}"), &settings);
     }
 
     fn add_entry(
@@ -194,7 +195,7 @@
             "metrics_address": metrics,
             "control_addresses": control_addresses,
         });
-        self.add(format!("entry-{number}"), &settings);
+        self.start_process(format!("entry-{number}"), &settings);
     }
 
     fn add_agent(
@@ -215,10 +216,10 @@
             "metrics_address": metrics,
             "control_addresses": self.control_addresses,
         });
-        self.add(format!("agent-{number}"), &settings);
+        self.start_process(format!("agent-{number}"), &settings);
     }
 
-    fn add(&mut self, name: String, settings: &Value) {
+    fn start_process(&mut self, name: String, settings: &Value) {
         let path = self.folder.path().join(format!("{name}.yaml"));
         std::fs::write(&path, settings.to_string()).unwrap();
         let child = Some(spawn(&path));
@@ -227,7 +228,7 @@
 }
 
 impl Drop for Deployment {
-    /// Shows the newest log lines of each role when a test fails.
+    /// Prints the newest log lines of each role if the test has failed.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
@@ -237,7 +238,7 @@
             let log = log.unwrap_or_default();
             let lines: Vec<&str> = log.lines().collect();
             eprintln!("--- {}", process.name);
-            for line in &lines[lines.len().saturating_sub(LOG_LINES_SHOWN)..] {
+            for line in &lines[lines.len().saturating_sub(PRINTED_LOG_LINE_COUNT)..] {
                 eprintln!("{line}");
             }
         }
@@ -288,20 +289,21 @@
     }
 }
 
-/// The first port given out. Ports of outgoing connections come from above 32,768, so one of them
-/// cannot take a port between its choice here and the start of the process that listens on it.
+/// First port that tests use. Outgoing connections use ports from 32,768 on, so that none of them
+/// can take a port between its selection here and the start of the process that listens on it.
 const FIRST_PORT: u16 = 10_000;
-/// Ports for one test program; programs that run at the same time have different process ids.
+/// Number of ports for one test program. The process id selects the block of ports, so that
+/// programs that run concurrently use different ones.
 const PORTS_PER_PROGRAM: u16 = 100;
 const PROGRAM_COUNT: u32 = 220;
 
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
-    static GIVEN_OUT: AtomicU16 = AtomicU16::new(0);
+    static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
     let block = u16::try_from(std::process::id() % PROGRAM_COUNT).unwrap();
     let first = FIRST_PORT + block * PORTS_PER_PROGRAM;
     let mut addresses = Vec::new();
     while addresses.len() < count {
-        let offset = GIVEN_OUT.fetch_add(1, Ordering::Relaxed) % PORTS_PER_PROGRAM;
+        let offset = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed) % PORTS_PER_PROGRAM;
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, first + offset));
         if TcpListener::bind(address).is_ok() {
             addresses.push(address);
--- a/tests/support/steps.rs
+++ b/tests/support/steps.rs
@@ -1,11 +1,11 @@
-//! Records of a small deployment, and steps that wait until the system has come so far.
+//! Records of a small deployment, and steps that wait until the deployment has reached a state.
 
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
 use yuccatack_stand_ins::{CallerAnswer, CallerStandIn};
 
-use super::STEP_LIMIT;
+use super::STEP_TIMEOUT;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -35,9 +35,9 @@
     })
 }
 
-/// Resends a change with the same id until it is accepted.
+/// Sends a change with the same id until it is accepted, and returns the response.
 pub async fn submit(operator: &CallerStandIn, change_id: &str, record: Value) -> Value {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = operator.change(change_id, "submit", 0, record.clone()).await;
         if let Ok(answer) = &answer
@@ -50,9 +50,9 @@
     }
 }
 
-/// Waits until a worker has joined; jobs are accepted only on capacity that exists.
+/// Waits until a worker has registered, because jobs are accepted only if the capacity exists.
 pub async fn wait_for_worker(operator: &CallerStandIn) {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = operator.get("/v1/status").await;
         if let Ok(answer) = &answer
@@ -60,14 +60,14 @@
         {
             return;
         }
-        assert!(Instant::now() < deadline, "no worker in time: {answer:?}");
+        assert!(Instant::now() < deadline, "no worker registered in time: {answer:?}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until an entry names a control leader other than `former`, and returns its number.
+/// Waits until an entry reports a control leader other than `former`, and returns its number.
 pub async fn wait_for_leader(operator: &CallerStandIn, former: Option<u64>) -> u64 {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = operator.get("/v1/status").await;
         if let Ok(answer) = &answer
@@ -76,14 +76,14 @@
         {
             return leader;
         }
-        assert!(Instant::now() < deadline, "no leader in time: {answer:?}");
+        assert!(Instant::now() < deadline, "no new control leader in time: {answer:?}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until this many minions take new work.
+/// Waits until exactly `count` minions accept new requests.
 pub async fn wait_for_minions(operator: &CallerStandIn, count: usize) {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = operator.get("/v1/status").await;
         if let Ok(answer) = &answer
@@ -97,14 +97,14 @@
     }
 }
 
-/// The seed of a randomised test, which `YUCCATACK_SEED` overrides.
+/// Returns the seed of a randomised test; `YUCCATACK_SEED` overrides the default.
 pub fn seed(default: u64) -> u64 {
     std::env::var("YUCCATACK_SEED").map_or(default, |text| text.parse().unwrap())
 }
 
-/// Sends an idempotent request until it is completed.
+/// Sends an idempotent request until its outcome is completed, and returns the response.
 pub async fn complete_request(caller: &CallerStandIn, body: &str) -> CallerAnswer {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = caller.request("putrajaya-club", "results", body.to_owned().into()).await;
         if let Ok(answer) = &answer
@@ -112,14 +112,14 @@
         {
             return answer.clone();
         }
-        assert!(Instant::now() < deadline, "no answer in time: {answer:?}");
+        assert!(Instant::now() < deadline, "no completed request in time: {answer:?}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until a job has the wanted state.
+/// Waits until a job is in the state `wanted`.
 pub async fn wait_for_job(operator: &CallerStandIn, job: &str, wanted: &str) {
-    let deadline = Instant::now() + STEP_LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
         let answer = operator.get(&format!("/v1/jobs/{job}/explanation")).await;
         if let Ok(answer) = &answer
--- a/tests/urgent_start.rs
+++ b/tests/urgent_start.rs
@@ -1,4 +1,5 @@
-//! Guards against a guaranteed shape that cannot be reclaimed in time while others use it.
+//! Guards against guaranteed capacity that is not reclaimed in time from a borrower that is stopped,
+//! takes a checkpoint or exceeds the time for a checkpoint.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -10,7 +11,7 @@
 use support::{Deployment, submit, wait_for_job, wait_for_worker};
 use yuccatack_core::prelude::*;
 
-/// The stated target for urgent work, reclaim included.
+/// Target for the start of an urgent job, including the time to reclaim its capacity.
 const START_TARGET: Duration = Duration::from_millis(8_300);
 
 const GIBIBYTE: u64 = 1 << 30;
@@ -41,8 +42,9 @@
     })
 }
 
-/// Lets a borrower fill the only worker and measures the start of the holder's urgent job.
-async fn reclaim_time(checkpointable: bool, checkpoint_time: DurationMs) -> Duration {
+/// Fills the only worker with the job of a borrower and returns the time until the urgent job of
+/// the holder of the guarantee runs.
+async fn measure_reclaim(checkpointable: bool, checkpoint_time: DurationMs) -> Duration {
     let deployment = Deployment::start(3).await;
     let operator = deployment.operator();
     for name in ["holder", "borrower"] {
@@ -68,14 +70,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn borrowed_room_comes_back() {
+async fn borrowed_capacity_reclaimed() {
     let cases = [
         ("stopped and run again later", false, DurationMs::ZERO),
         ("checkpoint of 2 s", true, DurationMs::from_seconds(2)),
         ("checkpoint overdue", true, DurationMs::from_seconds(60)),
     ];
     for (name, checkpointable, checkpoint_time) in cases {
-        let elapsed = reclaim_time(checkpointable, checkpoint_time).await;
+        let elapsed = measure_reclaim(checkpointable, checkpoint_time).await;
         eprintln!("{name}: the urgent job ran after {} ms", elapsed.as_millis());
         assert!(elapsed < START_TARGET, "{name}: {elapsed:?}");
     }
