--- a/crates/yuccatack_records/src/lib.rs
+++ b/crates/yuccatack_records/src/lib.rs
@@ -1,12 +1,12 @@
 //! Operators' records: schema versions, generations and change identifiers.
 //!
-//! [`RecordStore`] is a pure, replicated state machine; [`decode`] reads a document of any kind and
-//! schema version into one internal type.
+//! [`RecordStore`] is a deterministic replicated state machine without I/O. [`decode`] converts a
+//! document of any kind and schema version to one internal type.
 
 /// Generated wire types and services; regenerate with `cargo run --package codegen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic, rustdoc::all)]
 pub mod generated {
-    /// The `records` protocol.
+    /// Messages and services of `proto/records.proto`.
     #[path = "yuccatack.records.v1.rs"]
     pub mod records;
 }
@@ -22,14 +22,14 @@
 
 pub use change::{Change, ChangeOutcome, ContentDigest, Operation, Refusal, RefusalKind};
 pub use change_history::{
-    MAX_REMEMBERED_AGE, MAX_REMEMBERED_CHANGES, MAX_REMEMBERED_MESSAGE_BYTES, RememberedChange,
+    MAX_RETAINED_AGE, MAX_RETAINED_CHANGE_COUNT, MAX_RETAINED_MESSAGE_BYTES, RetainedChange,
 };
 pub use problem::RecordProblem;
 pub use record::{
     GuaranteeRecord, Indicator, JobRecord, MembershipRecord, MembershipReplica, ObjectiveRecord,
     OrganisationRecord, PolicyRecord, Record, RecordKey, RecordKind, ServiceRecord,
 };
-pub use store::{RecordStore, StoredRecord, Validated};
+pub use store::{RecordStore, StoredRecord, ValidatedChange};
 pub use wire::{
     DecodedDocument, MAX_DOCUMENT_LENGTH_BYTES, NEWEST_SCHEMA_VERSION, UnreadableOutcomeError,
     decode, decode_document, decode_key,
