--- a/crates/yuccatack_entry/tests/common/mod.rs
+++ b/crates/yuccatack_entry/tests/common/mod.rs
@@ -204,7 +204,7 @@
                 incarnation,
                 view: handle,
                 reports,
-                telemetry: Telemetry::unserved(),
+                telemetry: Telemetry::without_server(),
             };
             yuccatack_agent::serve(settings, inputs, shutdown).await
         });
@@ -260,7 +260,7 @@
         });
         let mut inputs = EntryInputs {
             control,
-            telemetry: Telemetry::unserved(),
+            telemetry: Telemetry::without_server(),
             listener,
             view: view.handle(),
             claims,
--- a/crates/yuccatack_telemetry/src/burn/mod.rs
+++ b/crates/yuccatack_telemetry/src/burn/mod.rs
@@ -20,4 +20,4 @@
 pub use report::{Alert, BurnReport, SeriesReport, WindowReport};
 pub use reporter::BurnReporter;
 pub use sampler::{BurnSampler, ObjectiveReading};
-pub use series::{CountSeries, PLOT_SLOT, Window};
+pub use series::{CountSeries, PLOT_SLOT_DURATION, Window};
--- a/crates/yuccatack_telemetry/src/burn/series.rs
+++ b/crates/yuccatack_telemetry/src/burn/series.rs
@@ -6,10 +6,10 @@
 use super::counts::SlotRing;
 
 /// The slot of the ring that serves the short windows: a twentieth of the shortest one.
-const FINE_SLOT: DurationMs = DurationMs::from_seconds(15);
+const FINE_SLOT_DURATION: DurationMs = DurationMs::from_seconds(15);
 
 /// The slot of the ring that serves the longest window and the plots.
-pub const PLOT_SLOT: DurationMs = DurationMs::from_seconds(300);
+pub const PLOT_SLOT_DURATION: DurationMs = DurationMs::from_seconds(300);
 
 /// One hour of fine slots. Both rings together take 2.5 KB, so that 2,000 series (190 organisations
 /// with ten objectives each) take 5 MB.
@@ -58,8 +58,8 @@
     /// Without events.
     pub fn new(now: TimestampMs) -> Self {
         Self {
-            fine: SlotRing::new(FINE_SLOT, FINE_SLOT_COUNT, now),
-            plot: SlotRing::new(PLOT_SLOT, PLOT_SLOT_COUNT, now),
+            fine: SlotRing::new(FINE_SLOT_DURATION, FINE_SLOT_COUNT, now),
+            plot: SlotRing::new(PLOT_SLOT_DURATION, PLOT_SLOT_COUNT, now),
         }
     }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The events of the last six hours in slots of [`PLOT_SLOT`], oldest first.
+    /// The events of the last six hours in slots of [`PLOT_SLOT_DURATION`], oldest first.
     pub fn plot(&self) -> Vec<Counts> {
         let latest: Vec<Counts> = self.plot.latest(PLOT_SLOT_COUNT as u64).collect();
         // The clock may have started less than six hours ago.
--- a/crates/yuccatack_telemetry/src/logging/limiter.rs
+++ b/crates/yuccatack_telemetry/src/logging/limiter.rs
@@ -55,7 +55,7 @@
     }
 
     /// Counts one line. Call [`Self::expire`] first, so that no ended window counts it.
-    pub fn offer(&mut self, event: &Arc<str>, level: Level, now: TimestampMs) -> Decision {
+    pub fn check(&mut self, event: &Arc<str>, level: Level, now: TimestampMs) -> Decision {
         let key = (Arc::clone(event), level);
         if self.windows.len() >= MAXIMUM_KIND_COUNT && !self.windows.contains_key(&key) {
             return Decision::Write;
--- a/crates/yuccatack_telemetry/src/logging/writer.rs
+++ b/crates/yuccatack_telemetry/src/logging/writer.rs
@@ -146,7 +146,7 @@
         } else {
             &mut self.limiter
         };
-        match limiter.offer(&line.event, line.level, now) {
+        match limiter.check(&line.event, line.level, now) {
             Decision::Write => self.write(&line.text),
             Decision::Suppress => {}
         }
--- a/crates/yuccatack_telemetry/src/metrics/catalogue.rs
+++ b/crates/yuccatack_telemetry/src/metrics/catalogue.rs
@@ -1,4 +1,4 @@
-//! The list of metrics: their documented names, labels and meaning.
+//! The list of metrics: their documented names, labels and help.
 
 use prometheus_client::registry::{Metric, Registry, Unit};
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct MetricDescription {
     /// The name without the prefix and without the unit.
-    pub stem: &'static str,
+    pub base_name: &'static str,
     /// The unit that ends the name.
     pub unit: MetricUnit,
     /// The type.
@@ -25,7 +25,7 @@
     /// The labels.
     pub labels: &'static [&'static str],
     /// What it counts or measures.
-    pub meaning: &'static str,
+    pub help: &'static str,
 }
 
 /// The units of metrics.
@@ -41,43 +41,43 @@
 
 impl MetricDescription {
     const fn new(
-        stem: &'static str,
+        base_name: &'static str,
         unit: MetricUnit,
         metric_type: MetricType,
         labels: &'static [&'static str],
-        meaning: &'static str,
+        help: &'static str,
     ) -> Self {
-        Self { stem, unit, metric_type, labels, meaning }
+        Self { base_name, unit, metric_type, labels, help }
     }
 
     /// The full name as it stands in the `# TYPE` line of the text format.
     pub fn name(&self) -> String {
         let prefix = super::PREFIX;
         match self.unit {
-            MetricUnit::Count => format!("{prefix}_{}", self.stem),
-            MetricUnit::Seconds => format!("{prefix}_{}_seconds", self.stem),
-            MetricUnit::Ratio => format!("{prefix}_{}_ratio", self.stem),
+            MetricUnit::Count => format!("{prefix}_{}", self.base_name),
+            MetricUnit::Seconds => format!("{prefix}_{}_seconds", self.base_name),
+            MetricUnit::Ratio => format!("{prefix}_{}_ratio", self.base_name),
         }
     }
 }
 
-/// Registers `metric` under the description of `stem`.
-pub(super) fn register<M>(registry: &mut Registry, stem: &'static str, metric: M) -> M
+/// Registers `metric` under the description of `base_name`.
+pub(super) fn register<M>(registry: &mut Registry, base_name: &'static str, metric: M) -> M
 where
     M: Metric + Clone,
 {
-    let meaning = CATALOGUE.iter().find(|described| described.stem == stem);
-    let (meaning, unit) =
-        meaning.map_or(("", MetricUnit::Count), |described| (described.meaning, described.unit));
-    let meaning = meaning.trim_end_matches('.');
+    let description = CATALOGUE.iter().find(|described| described.base_name == base_name);
+    let (help, unit) =
+        description.map_or(("", MetricUnit::Count), |described| (described.help, described.unit));
+    let help = help.trim_end_matches('.');
     match unit {
-        MetricUnit::Count => registry.register(stem, meaning, metric.clone()),
+        MetricUnit::Count => registry.register(base_name, help, metric.clone()),
         MetricUnit::Seconds => {
-            registry.register_with_unit(stem, meaning, Unit::Seconds, metric.clone());
+            registry.register_with_unit(base_name, help, Unit::Seconds, metric.clone());
         }
         MetricUnit::Ratio => {
             let unit = Unit::Other("ratio".to_owned());
-            registry.register_with_unit(stem, meaning, unit, metric.clone());
+            registry.register_with_unit(base_name, help, unit, metric.clone());
         }
     }
     metric
--- a/crates/yuccatack_telemetry/src/metrics/labels.rs
+++ b/crates/yuccatack_telemetry/src/metrics/labels.rs
@@ -72,7 +72,7 @@
         /// It was refused for a reason that the caller can mend.
         Refused => "refused",
         /// Nothing was done, and the caller is told when to come back.
-        Later => "later",
+        RetryLater => "later",
         /// It may have been done; the caller asks again.
         Unknown => "unknown",
     }
--- a/crates/yuccatack_telemetry/src/process.rs
+++ b/crates/yuccatack_telemetry/src/process.rs
@@ -21,7 +21,7 @@
 
 impl Telemetry {
     /// Telemetry that nobody samples or serves, for tests and for roles that share a process.
-    pub fn unserved() -> Self {
+    pub fn without_server() -> Self {
         let metrics = Metrics::new();
         let (_, burn_reports) = BurnReporter::new(metrics.objectives.clone());
         Self { metrics, readiness: watch::Sender::new(Readiness::default()), burn_reports }
--- a/crates/yuccatack_telemetry/tests/metric_names.rs
+++ b/crates/yuccatack_telemetry/tests/metric_names.rs
@@ -63,8 +63,8 @@
 /// The row of a metric as it stands on the page.
 fn row(metric: &MetricDescription) -> String {
     let labels: Vec<String> = metric.labels.iter().map(|label| format!("`{label}`")).collect();
-    let (name, kind, meaning) = (metric.name(), type_name(metric.metric_type), metric.meaning);
-    format!("| `{name}` | {kind} | {} | {meaning} |", labels.join(", "))
+    let (name, kind, help) = (metric.name(), type_name(metric.metric_type), metric.help);
+    format!("| `{name}` | {kind} | {} | {help} |", labels.join(", "))
 }
 
 #[test]
