--- a/crates/yuccatack_leases/examples/replay/engine.rs
+++ b/crates/yuccatack_leases/examples/replay/engine.rs
@@ -5,7 +5,7 @@
 use yuccatack_core::prelude::*;
 use yuccatack_leases::*;
 use yuccatack_placement::{DemandProfile, WeightedShape, fragmentation, remainder};
-use yuccatack_stand_ins::{Behaviour, WorkerModel};
+use yuccatack_stand_ins::{WorkerBehaviour, WorkerModel};
 
 use crate::mix::{ARRIVAL_MS, Fault, Scenario};
 
@@ -114,7 +114,7 @@
         self.workers[position].tick(time);
         let report = self.workers[position].heartbeat();
         let (reply, commands) = self.leader.heartbeat(&self.table, report, time);
-        self.workers[position].follow(&reply, time, time);
+        self.workers[position].handle_reply(&reply, time, time);
         self.next_heartbeat[position] = self.now + HEARTBEAT_MS;
         for command in commands {
             self.apply(command);
@@ -268,7 +268,8 @@
         match fault {
             Fault::Failing(position, from, to) => {
                 let failing = (*from..*to).contains(&elapsed);
-                let behaviour = if failing { Behaviour::FailAll } else { Behaviour::Normal };
+                let behaviour =
+                    if failing { WorkerBehaviour::FailAll } else { WorkerBehaviour::Normal };
                 engine.workers[*position].set_behaviour(behaviour);
             }
             Fault::Off(members, from, to) => {
--- a/crates/yuccatack_leases/tests/job_checks.rs
+++ b/crates/yuccatack_leases/tests/job_checks.rs
@@ -6,7 +6,7 @@
 use support::*;
 use yuccatack_core::prelude::*;
 use yuccatack_leases::*;
-use yuccatack_stand_ins::Behaviour;
+use yuccatack_stand_ins::WorkerBehaviour;
 
 fn platform_with(count: usize) -> Platform {
     let mut platform = Platform::new(9, workers(count, 1));
@@ -57,7 +57,7 @@
 #[test]
 fn quarantines_worker() {
     let mut platform = platform_with(3);
-    platform.workers[0].model.set_behaviour(Behaviour::FailAll);
+    platform.workers[0].model.set_behaviour(WorkerBehaviour::FailAll);
     let faulty = platform.workers[0].model.registration().worker.clone();
     for number in 0..30 {
         platform.submit(job(&format!("job-{number}"), "alpha", shape(1, 8, Adjacency::Worker)));
@@ -66,7 +66,7 @@
         matches!(p.table.worker(&faulty).unwrap().health, WorkerHealth::Quarantined { .. })
     };
     assert!(platform.run_until(30_000, quarantined));
-    platform.workers[0].model.set_behaviour(Behaviour::Normal);
+    platform.workers[0].model.set_behaviour(WorkerBehaviour::Normal);
     assert!(platform.run_until(200_000, |p| !quarantined(p)));
     platform.run_for(60_000);
     assert!(platform.table.jobs().all(|(_, job)| job.phase == JobPhase::Succeeded));
@@ -85,7 +85,7 @@
     platform.submit(job("faulty", "alpha", shape(1, 8, Adjacency::Worker)));
     for _ in 0..3 {
         for worker in &mut platform.workers {
-            worker.model.set_behaviour(Behaviour::FailAll);
+            worker.model.set_behaviour(WorkerBehaviour::FailAll);
         }
         let failures = platform.table.job(&faulty).unwrap().failure_count;
         platform.run_until(10_000, |p| p.table.job(&faulty).unwrap().failure_count > failures);
--- a/crates/yuccatack_leases/tests/random_faults.rs
+++ b/crates/yuccatack_leases/tests/random_faults.rs
@@ -7,7 +7,7 @@
 use support::*;
 use yuccatack_core::prelude::*;
 use yuccatack_leases::*;
-use yuccatack_stand_ins::Behaviour;
+use yuccatack_stand_ins::WorkerBehaviour;
 
 const ORGANISATIONS: [&str; 4] = ["alpha", "beta", "gamma", "delta"];
 
@@ -53,9 +53,9 @@
         }
         2 | 3 => worker.disconnected_until = now + length,
         4 => worker.latency_ms = [2, 2, 50, 400, 1_500][length as usize % 5],
-        5 => worker.model.set_behaviour(Behaviour::FailAll),
+        5 => worker.model.set_behaviour(WorkerBehaviour::FailAll),
         6 => worker.reports_falsely = !worker.reports_falsely,
-        7 => worker.model.set_behaviour(Behaviour::Normal),
+        7 => worker.model.set_behaviour(WorkerBehaviour::Normal),
         8 => worker.model.set_checkpoint_time(DurationMs::new(length / 5)),
         _ => platform.lose_leader(length / 10),
     }
@@ -65,7 +65,7 @@
     for worker in &mut platform.workers {
         worker.reports_falsely = false;
         worker.latency_ms = 2;
-        worker.model.set_behaviour(Behaviour::Normal);
+        worker.model.set_behaviour(WorkerBehaviour::Normal);
         worker.model.set_checkpoint_time(DurationMs::new(200));
     }
 }
--- a/crates/yuccatack_leases/tests/support/mod.rs
+++ b/crates/yuccatack_leases/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use yuccatack_core::prelude::*;
 use yuccatack_leases::*;
-use yuccatack_stand_ins::{Behaviour, WorkerModel};
+use yuccatack_stand_ins::{WorkerBehaviour, WorkerModel};
 
 pub const TICK_MS: u64 = 10;
 
@@ -192,7 +192,8 @@
             }
             return;
         }
-        let frozen = now < worker.frozen_until || worker.model.behaviour() == Behaviour::Frozen;
+        let frozen =
+            now < worker.frozen_until || worker.model.behaviour() == WorkerBehaviour::Frozen;
         if !frozen {
             let mut changed = worker.model.tick(time);
             // Messages in the socket buffer of a frozen process are received when it resumes.
@@ -204,7 +205,7 @@
                 let acknowledged = !reply.acknowledged.is_empty();
                 let commanded = !reply.commands.is_empty();
                 let lease = reply.lease;
-                changed |= worker.model.follow(&reply, TimestampMs::new(sent_at), time);
+                changed |= worker.model.handle_reply(&reply, TimestampMs::new(sent_at), time);
                 let next = match lease {
                     None => now + 200,
                     Some(_) if acknowledged => now,
--- a/crates/yuccatack_stand_ins/src/caller.rs
+++ b/crates/yuccatack_stand_ins/src/caller.rs
@@ -12,7 +12,7 @@
 
 /// What a caller got back.
 #[derive(Clone, Debug)]
-pub struct CallerAnswer {
+pub struct CallerResponse {
     /// The HTTP status.
     pub status: StatusCode,
     /// The headers as name and value.
@@ -21,7 +21,7 @@
     pub body: Bytes,
 }
 
-impl CallerAnswer {
+impl CallerResponse {
     /// The first header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
@@ -58,7 +58,7 @@
     }
 
     /// Reads a resource.
-    pub async fn get(&self, path: &str) -> io::Result<CallerAnswer> {
+    pub async fn get(&self, path: &str) -> io::Result<CallerResponse> {
         self.send(Method::GET, path, &[], Bytes::new()).await
     }
 
@@ -69,7 +69,7 @@
         operation: &str,
         replaces_generation: u64,
         record: serde_json::Value,
-    ) -> io::Result<CallerAnswer> {
+    ) -> io::Result<CallerResponse> {
         let document = serde_json::json!({
             "change_id": change_id,
             "operation": operation,
@@ -86,19 +86,19 @@
         organisation: &str,
         service: &str,
         body: Bytes,
-    ) -> io::Result<CallerAnswer> {
+    ) -> io::Result<CallerResponse> {
         let headers = [("yuccatack-organisation", organisation), ("yuccatack-idempotent", "true")];
         self.send(Method::POST, &format!("/v1/requests/{service}"), &headers, body).await
     }
 
     /// Sends a non-idempotent request with a caller key.
-    pub async fn request_once(
+    pub async fn request_with_key(
         &self,
         organisation: &str,
         service: &str,
         key: &str,
         body: Bytes,
-    ) -> io::Result<CallerAnswer> {
+    ) -> io::Result<CallerResponse> {
         let headers = [
             ("yuccatack-organisation", organisation),
             ("yuccatack-idempotent", "false"),
@@ -114,7 +114,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-    ) -> io::Result<CallerAnswer> {
+    ) -> io::Result<CallerResponse> {
         tokio::time::timeout(self.timeout, self.exchange(method, path, headers, body))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
@@ -126,7 +126,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-    ) -> io::Result<CallerAnswer> {
+    ) -> io::Result<CallerResponse> {
         let stream = TcpStream::connect(self.entry_address).await?;
         stream.set_nodelay(true)?;
         let (mut sender, connection) =
@@ -152,7 +152,7 @@
                 (name.as_str().to_owned(), String::from_utf8_lossy(value.as_bytes()).into_owned())
             })
             .collect();
-        Ok(CallerAnswer { status: head.status, headers, body })
+        Ok(CallerResponse { status: head.status, headers, body })
     }
 }
 
--- a/crates/yuccatack_stand_ins/src/lib.rs
+++ b/crates/yuccatack_stand_ins/src/lib.rs
@@ -6,8 +6,8 @@
 mod worker;
 mod worker_model;
 
-pub use caller::{CallerAnswer, CallerStandIn};
+pub use caller::{CallerResponse, CallerStandIn};
 pub use minion::{MinionBehaviour, MinionFault, MinionRun, MinionStandIn};
 pub use queue_worker::{QueueWorkerHandle, QueueWorkerStandIn};
 pub use worker::{WorkerSettings, WorkerStandIn};
-pub use worker_model::{Behaviour, SharedAccelerator, TaskRecord, WorkerModel};
+pub use worker_model::{AcceleratorConflict, TaskRecord, WorkerBehaviour, WorkerModel};
--- a/crates/yuccatack_stand_ins/src/minion.rs
+++ b/crates/yuccatack_stand_ins/src/minion.rs
@@ -49,7 +49,7 @@
 
 impl MinionFault {
     /// The fault that a header value names.
-    pub fn from_word(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         match word {
             "none" => Some(Self::None),
             "truncate" => Some(Self::Truncate),
@@ -246,7 +246,7 @@
 }
 
 fn behaviour_of(headers: &HeaderMap, default: MinionBehaviour) -> MinionBehaviour {
-    let fault = header(headers, "stand-in-fault").and_then(MinionFault::from_word);
+    let fault = header(headers, "stand-in-fault").and_then(MinionFault::from_name);
     let delay_ms = header(headers, "stand-in-delay-ms").and_then(|text| text.parse().ok());
     MinionBehaviour {
         fault: fault.unwrap_or(default.fault),
--- a/crates/yuccatack_stand_ins/src/worker.rs
+++ b/crates/yuccatack_stand_ins/src/worker.rs
@@ -15,7 +15,7 @@
 use yuccatack_leases::wire::{HeartbeatBody, HeartbeatReplyBody};
 use yuccatack_leases::{HEARTBEAT_INTERVAL, HeartbeatReply, HeartbeatReport, WorkerRegistration};
 
-use crate::worker_model::{Behaviour, SharedAccelerator, TaskRecord, WorkerModel};
+use crate::worker_model::{AcceleratorConflict, TaskRecord, WorkerBehaviour, WorkerModel};
 
 /// A held reply comes within a heartbeat interval; later ones are given up.
 const REPLY_LIMIT: Duration = Duration::from_millis(3_000);
@@ -39,10 +39,10 @@
 enum Message {
     RunTime(JobName, DurationMs),
     CheckpointTime(DurationMs),
-    Behave(Behaviour),
+    Behaviour(WorkerBehaviour),
     Restart,
     Records(oneshot::Sender<Vec<TaskRecord>>),
-    Violations(oneshot::Sender<Vec<SharedAccelerator>>),
+    Violations(oneshot::Sender<Vec<AcceleratorConflict>>),
 }
 
 /// A running worker. It ends when this is dropped.
@@ -71,8 +71,8 @@
     }
 
     /// Changes how the worker treats its tasks.
-    pub fn set_behaviour(&self, behaviour: Behaviour) {
-        self.send(Message::Behave(behaviour));
+    pub fn set_behaviour(&self, behaviour: WorkerBehaviour) {
+        self.send(Message::Behaviour(behaviour));
     }
 
     /// Ends the worker process and starts it under a new incarnation.
@@ -88,7 +88,7 @@
     }
 
     /// Commands that no correct scheduler sends.
-    pub async fn violations(&self) -> Vec<SharedAccelerator> {
+    pub async fn violations(&self) -> Vec<AcceleratorConflict> {
         let (reply, answer) = oneshot::channel();
         self.send(Message::Violations(reply));
         answer.await.unwrap_or_default()
@@ -139,7 +139,7 @@
 
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) {
         loop {
-            let frozen = self.model.behaviour() == Behaviour::Frozen;
+            let frozen = self.model.behaviour() == WorkerBehaviour::Frozen;
             let event = self.model.next_event().map(|at| self.instant(at));
             let wake = event.unwrap_or(self.next_heartbeat).min(self.next_heartbeat);
             let in_flight = self.in_flight.as_mut().map(|(_, task)| task);
@@ -158,7 +158,7 @@
         match message {
             Message::RunTime(job, run_time) => self.model.set_run_time(&job, run_time),
             Message::CheckpointTime(time) => self.model.set_checkpoint_time(time),
-            Message::Behave(behaviour) => self.model.set_behaviour(behaviour),
+            Message::Behaviour(behaviour) => self.model.set_behaviour(behaviour),
             Message::Restart => {
                 self.abandon();
                 self.model.restart(Incarnation::random(), self.now());
@@ -203,7 +203,7 @@
         let ended = self.model.tick(now);
         match answer {
             Ok(reply) => {
-                let changed = self.model.follow(&reply, sent_at, now);
+                let changed = self.model.handle_reply(&reply, sent_at, now);
                 self.next_heartbeat = if reply.lease.is_none() {
                     // An unregistered worker asks again soon, so that a start-up is short.
                     Instant::now() + RETRY_WAIT
--- a/crates/yuccatack_stand_ins/src/worker_model.rs
+++ b/crates/yuccatack_stand_ins/src/worker_model.rs
@@ -10,7 +10,7 @@
 
 /// How a worker treats its tasks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Behaviour {
+pub enum WorkerBehaviour {
     /// Runs every task to its end.
     #[default]
     Normal,
@@ -53,7 +53,7 @@
 
 /// A command to use an accelerator that another task of the worker holds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SharedAccelerator {
+pub struct AcceleratorConflict {
     /// The task that was to be prepared.
     pub task: TaskReference,
     /// The task that holds the accelerator.
@@ -75,9 +75,9 @@
     run_times: BTreeMap<JobName, DurationMs>,
     default_run_time: DurationMs,
     checkpoint_time: DurationMs,
-    behaviour: Behaviour,
+    behaviour: WorkerBehaviour,
     records: Vec<TaskRecord>,
-    violations: Vec<SharedAccelerator>,
+    violations: Vec<AcceleratorConflict>,
 }
 
 impl WorkerModel {
@@ -93,7 +93,7 @@
             run_times: BTreeMap::new(),
             default_run_time,
             checkpoint_time: DurationMs::new(200),
-            behaviour: Behaviour::Normal,
+            behaviour: WorkerBehaviour::Normal,
             records: Vec::new(),
             violations: Vec::new(),
         }
@@ -110,12 +110,12 @@
     }
 
     /// Changes how the worker treats its tasks.
-    pub fn set_behaviour(&mut self, behaviour: Behaviour) {
+    pub fn set_behaviour(&mut self, behaviour: WorkerBehaviour) {
         self.behaviour = behaviour;
     }
 
     /// How the worker treats its tasks.
-    pub fn behaviour(&self) -> Behaviour {
+    pub fn behaviour(&self) -> WorkerBehaviour {
         self.behaviour
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Commands that no correct scheduler sends to a truthful worker.
-    pub fn violations(&self) -> &[SharedAccelerator] {
+    pub fn violations(&self) -> &[AcceleratorConflict] {
         &self.violations
     }
 
@@ -177,7 +177,7 @@
     /// changed, so that a heartbeat is due at once.
     ///
     /// The lease counts from the sending, because the leader counts from a later moment.
-    pub fn follow(
+    pub fn handle_reply(
         &mut self,
         reply: &HeartbeatReply,
         sent_at: TimestampMs,
@@ -196,7 +196,7 @@
             }
         }
         let holds_lease = self.lease_end.is_some_and(|end| end > now);
-        if !holds_lease || self.behaviour == Behaviour::Ignore {
+        if !holds_lease || self.behaviour == WorkerBehaviour::Ignore {
             return false;
         }
         let mut changed = false;
@@ -237,7 +237,7 @@
         for (other, task) in self.tasks.iter().filter(|(_, task)| task.is_active()) {
             if task.accelerators.iter().any(|number| accelerators.contains(number)) {
                 let (task, holder) = (reference.clone(), other.clone());
-                self.violations.push(SharedAccelerator { task, holder });
+                self.violations.push(AcceleratorConflict { task, holder });
             }
         }
         let task = ModelTask {
@@ -254,7 +254,7 @@
 
     fn start(&mut self, reference: &TaskReference, now: TimestampMs) -> bool {
         let run_time = self.run_times.get(&reference.job).copied().unwrap_or(self.default_run_time);
-        let fails = self.behaviour == Behaviour::FailAll;
+        let fails = self.behaviour == WorkerBehaviour::FailAll;
         let Some(task) = self.tasks.get_mut(reference) else { return false };
         if task.state != ReportedState::Prepared {
             return false;
@@ -328,7 +328,7 @@
     /// Lets time pass: ends tasks that are done, and all of them when the lease has ended.
     /// Returns whether a task changed.
     pub fn tick(&mut self, now: TimestampMs) -> bool {
-        if self.behaviour == Behaviour::Frozen {
+        if self.behaviour == WorkerBehaviour::Frozen {
             return false;
         }
         let leased = self.lease_end.is_some_and(|end| end > now);
@@ -341,7 +341,7 @@
             let state = match self.behaviour {
                 _ if !leased => ReportedState::Stopped,
                 _ if task.checkpointing => ReportedState::Checkpointed,
-                Behaviour::FailAll => ReportedState::Failed,
+                WorkerBehaviour::FailAll => ReportedState::Failed,
                 _ => ReportedState::Succeeded,
             };
             endings.push((reference.clone(), state));
--- a/crates/yuccatack_stand_ins/tests/worker_stand_in.rs
+++ b/crates/yuccatack_stand_ins/tests/worker_stand_in.rs
@@ -159,7 +159,7 @@
         commands,
         acknowledged: Vec::new(),
     };
-    model.follow(&reply, TimestampMs::new(now), TimestampMs::new(now));
+    model.handle_reply(&reply, TimestampMs::new(now), TimestampMs::new(now));
 }
 
 /// Guards against tasks that run on after the lease has ended.
--- a/tests/load_kills.rs
+++ b/tests/load_kills.rs
@@ -15,7 +15,7 @@
 use support::minion_port::MinionPort;
 use support::{Deployment, organisation, seed, service, submit, wait_for_leader, wait_for_minions};
 use tokio::task::JoinSet;
-use yuccatack_stand_ins::{CallerAnswer, CallerStandIn, MinionBehaviour, MinionStandIn};
+use yuccatack_stand_ins::{CallerResponse, CallerStandIn, MinionBehaviour, MinionStandIn};
 
 const ORGANISATION: &str = "putrajaya-club";
 const SERVICE: &str = "results";
@@ -47,7 +47,7 @@
 /// What one sending brought.
 #[derive(Clone, Debug)]
 enum Sending {
-    Completed(CallerAnswer),
+    Completed(CallerResponse),
     /// Refused; true if the refusal covers earlier sendings of the key too.
     NotRun(String, bool),
     Unknown(String),
@@ -60,7 +60,7 @@
     sendings: Vec<Sending>,
 }
 
-fn sending(answer: std::io::Result<CallerAnswer>) -> Sending {
+fn sending(answer: std::io::Result<CallerResponse>) -> Sending {
     let Ok(answer) = answer else { return Sending::Lost };
     let reason = answer.header("yuccatack-reason").unwrap_or_default().to_owned();
     match answer.outcome() {
@@ -79,7 +79,7 @@
         let entry = &entries[(call.first_entry + number) % entries.len()];
         let body = Bytes::from(call.body.clone());
         let answer = match &call.key {
-            Some(key) => entry.request_once(ORGANISATION, SERVICE, key, body).await,
+            Some(key) => entry.request_with_key(ORGANISATION, SERVICE, key, body).await,
             None => entry.request(ORGANISATION, SERVICE, body).await,
         };
         let sending = sending(answer);
--- a/tests/minion_departure.rs
+++ b/tests/minion_departure.rs
@@ -11,7 +11,9 @@
 use support::{Deployment, complete_request, organisation, service, submit, wait_for_minions};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::MissedTickBehavior;
-use yuccatack_stand_ins::{CallerAnswer, CallerStandIn, MinionBehaviour, MinionRun, MinionStandIn};
+use yuccatack_stand_ins::{
+    CallerResponse, CallerStandIn, MinionBehaviour, MinionRun, MinionStandIn,
+};
 
 /// A departing minion gets no new work after this time.
 const DEPARTURE_LIMIT: Duration = Duration::from_secs(3);
@@ -34,7 +36,7 @@
     sent_at: Instant,
     time: Duration,
     body: String,
-    answer: CallerAnswer,
+    answer: CallerResponse,
 }
 
 /// Longer than the departure limit, so that the agent still drains when the limit has passed.
@@ -119,7 +121,7 @@
 }
 
 /// Starts non-idempotent requests, some of which keep the leaving agent in its drain.
-async fn hold_open(scene: &Scene) -> JoinSet<CallerAnswer> {
+async fn hold_open(scene: &Scene) -> JoinSet<CallerResponse> {
     let delay = HELD_RUN_TIME;
     scene.leaving.set_behaviour(MinionBehaviour { delay, ..MinionBehaviour::default() });
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
@@ -129,7 +131,7 @@
         held.spawn(async move {
             let key = format!("{now_ms}-held-{number}");
             let body = key.clone().into();
-            caller.request_once("putrajaya-club", "results", &key, body).await.unwrap()
+            caller.request_with_key("putrajaya-club", "results", &key, body).await.unwrap()
         });
     }
     tokio::time::sleep(HOLD_LEAD).await;
--- a/tests/support/steps.rs
+++ b/tests/support/steps.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use yuccatack_stand_ins::{CallerAnswer, CallerStandIn};
+use yuccatack_stand_ins::{CallerResponse, CallerStandIn};
 
 use super::STEP_LIMIT;
 
@@ -103,7 +103,7 @@
 }
 
 /// Sends an idempotent request until it is completed.
-pub async fn complete_request(caller: &CallerStandIn, body: &str) -> CallerAnswer {
+pub async fn complete_request(caller: &CallerStandIn, body: &str) -> CallerResponse {
     let deadline = Instant::now() + STEP_LIMIT;
     loop {
         let answer = caller.request("putrajaya-club", "results", body.to_owned().into()).await;
