--- a/crates/yuccatack_stand_ins/src/caller.rs
+++ b/crates/yuccatack_stand_ins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller or operator that talks HTTP to an entry, one connection a call.
+//! HTTP client of an entry in the role of a caller or operator; opens one connection per call.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,29 +10,29 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// What a caller got back.
+/// HTTP response of an entry, with its complete body.
 #[derive(Clone, Debug)]
 pub struct CallerResponse {
-    /// The HTTP status.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// The headers as name and value.
+    /// Names, in lower case, and values of the headers, in order.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// Response body; empty if there is none.
     pub body: Bytes,
 }
 
 impl CallerResponse {
-    /// The first header with this lower-case name.
+    /// Returns the value of the first header with this lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 
-    /// The value of the header `yuccatack-outcome`.
+    /// Returns the value of the header `yuccatack-outcome`.
     pub fn outcome(&self) -> Option<&str> {
         self.header("yuccatack-outcome")
     }
 
-    /// The body as JSON, or null.
+    /// Parses the body as JSON; returns null if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or(serde_json::Value::Null)
     }
@@ -46,18 +46,18 @@
 }
 
 impl CallerStandIn {
-    /// A caller of the entry at this address that waits at most 10 s for an answer.
+    /// Creates a caller of the entry at this address, with a time-out of 10 s for each call.
     pub fn new(entry_address: SocketAddr) -> Self {
         Self { entry_address, timeout: Duration::from_secs(10) }
     }
 
-    /// Changes how long a call may take.
+    /// Sets the time-out of a call, from connecting to the end of the response body.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Reads a resource.
+    /// Sends a `GET` request without a body.
     pub async fn get(&self, path: &str) -> io::Result<CallerResponse> {
         self.send(Method::GET, path, &[], Bytes::new()).await
     }
@@ -91,7 +91,7 @@
         self.send(Method::POST, &format!("/v1/requests/{service}"), &headers, body).await
     }
 
-    /// Sends a non-idempotent request with a caller key.
+    /// Sends a non-idempotent request with an idempotency key.
     pub async fn request_with_key(
         &self,
         organisation: &str,
@@ -107,7 +107,8 @@
         self.send(Method::POST, &format!("/v1/requests/{service}"), &headers, body).await
     }
 
-    /// Sends any call and waits for its whole answer.
+    /// Sends a request and waits for the complete response. Fails with `TimedOut` after the
+    /// time-out.
     pub async fn send(
         &self,
         method: Method,
@@ -129,9 +130,10 @@
     ) -> io::Result<CallerResponse> {
         let stream = TcpStream::connect(self.entry_address).await?;
         stream.set_nodelay(true)?;
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(to_io)?;
-        let driver = tokio::spawn(connection);
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+            .await
+            .map_err(to_io_error)?;
+        let connection = tokio::spawn(connection);
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -140,11 +142,11 @@
             request = request.header(*name, *value);
         }
         let request = request.body(Full::new(body)).map_err(io::Error::other)?;
-        let response = sender.send_request(request).await.map_err(to_io)?;
+        let response = sender.send_request(request).await.map_err(to_io_error)?;
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(to_io)?.to_bytes();
+        let body = body.collect().await.map_err(to_io_error)?.to_bytes();
         drop(sender);
-        driver.abort();
+        connection.abort();
         let headers = head
             .headers
             .iter()
@@ -156,6 +158,6 @@
     }
 }
 
-fn to_io(error: hyper::Error) -> io::Error {
+fn to_io_error(error: hyper::Error) -> io::Error {
     io::Error::other(error)
 }
--- a/crates/yuccatack_stand_ins/src/lib.rs
+++ b/crates/yuccatack_stand_ins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform's workers, minions and callers, for tests and examples.
+//! Test doubles of the platform's workers, minions and callers, for tests and examples.
 
 mod caller;
 pub mod minion;
--- a/crates/yuccatack_stand_ins/src/minion.rs
+++ b/crates/yuccatack_stand_ins/src/minion.rs
@@ -1,7 +1,7 @@
-//! A minion over HTTP that echoes request bodies and misbehaves on demand.
+//! Test double of a minion: an HTTP server that echoes request bodies and injects faults on demand.
 //!
-//! The request headers `stand-in-fault` and `stand-in-delay-ms` choose the behaviour of one
-//! answer; [`MinionStandIn::set_behaviour`] that of all others.
+//! The request headers `stand-in-fault` and `stand-in-delay-ms` set the behaviour for one request;
+//! [`MinionStandIn::set_behaviour`] sets it for all requests without these headers.
 
 use std::convert::Infallible;
 use std::io;
@@ -22,35 +22,36 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// The body length of an oversized answer.
 const OVERSIZED_BODY_LENGTH_BYTES: usize = 20 * 1024 * 1024;
-/// The time between the only part of a truncated answer and its break.
+/// Delay between the data of a truncated response and the end of its connection, so that the peer
+/// receives the data first.
 const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
-/// The attempt that a crossed answer names.
+/// Attempt id in a [`MinionFault::Crossed`] response.
 const OTHER_ATTEMPT: &str = "00000000000000000000000000000000";
 
-/// How one answer misbehaves.
+/// Fault to inject into one response.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum MinionFault {
-    /// It does not.
+    /// Responds correctly.
     #[default]
     None,
-    /// The body ends before its announced length.
+    /// Closes the connection before the body reaches its `content-length`.
     Truncate,
-    /// The answer names another attempt and has another body.
+    /// Responds with the attempt id and body of another request.
     Crossed,
-    /// The body is larger than any limit.
+    /// Responds with a body of 20 MiB, which exceeds every body limit.
     Oversized,
-    /// The connection closes after the request was read, without an answer.
+    /// Runs the request and closes the connection without a response.
     CloseEarly,
-    /// The request runs and no answer ever comes.
+    /// Runs the request and never responds, with the connection left open.
     Silent,
 }
 
 impl MinionFault {
-    /// The fault that a header value names.
-    pub fn from_name(word: &str) -> Option<Self> {
-        match word {
+    /// Returns the fault with the given name in the header `stand-in-fault`, or `None` if there is
+    /// no such fault.
+    pub fn from_name(name: &str) -> Option<Self> {
+        match name {
             "none" => Some(Self::None),
             "truncate" => Some(Self::Truncate),
             "crossed" => Some(Self::Crossed),
@@ -62,23 +63,23 @@
     }
 }
 
-/// How answers are made unless a request says otherwise.
+/// Behaviour for requests whose headers do not set another one.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct MinionBehaviour {
-    /// How long a request runs.
+    /// Time from the acquisition of a slot to the response.
     pub delay: Duration,
-    /// How answers misbehave.
+    /// Fault to inject into the response.
     pub fault: MinionFault,
 }
 
-/// A request that ran.
+/// Request that the minion received in full, as recorded for the test.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MinionRun {
-    /// The attempt that the agent named.
+    /// Value of the header `yuccatack-attempt`; empty if absent.
     pub attempt: String,
-    /// The organisation that the agent named.
+    /// Value of the header `yuccatack-organisation`; empty if absent.
     pub organisation: String,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
@@ -95,7 +96,7 @@
     Read(oneshot::Sender<Vec<MinionRun>>),
 }
 
-/// A running stand-in; dropping it closes its sockets, as a killed minion would.
+/// Running test double; dropping it closes its sockets, as the end of a minion process does.
 #[derive(Debug)]
 pub struct MinionStandIn {
     address: SocketAddr,
@@ -111,35 +112,35 @@
     }
 }
 
-/// Counts one connection or run for as long as it lives.
-struct Counted {
+/// Guard that counts one connection or run until it is dropped.
+struct GaugeGuard {
     gauges: Arc<Gauges>,
     gauge: fn(&Gauges) -> (&AtomicUsize, &AtomicUsize),
 }
 
-impl Counted {
+impl GaugeGuard {
     fn new(gauges: &Arc<Gauges>, gauge: fn(&Gauges) -> (&AtomicUsize, &AtomicUsize)) -> Self {
         let (count, peak) = gauge(gauges);
-        let now = count.fetch_add(1, Ordering::SeqCst) + 1;
-        peak.fetch_max(now, Ordering::SeqCst);
+        let current = count.fetch_add(1, Ordering::SeqCst) + 1;
+        peak.fetch_max(current, Ordering::SeqCst);
         Self { gauges: Arc::clone(gauges), gauge }
     }
 }
 
-impl Drop for Counted {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         let (count, _) = (self.gauge)(&self.gauges);
         count.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// What each connection of the stand-in needs.
+/// State that all connections of the test double share.
 #[derive(Clone)]
 struct MinionContext {
     behaviour: watch::Receiver<MinionBehaviour>,
     recorder: mpsc::UnboundedSender<RecorderMessage>,
     gauges: Arc<Gauges>,
-    /// The requests that make progress at once; the others wait their turn.
+    /// Limits the requests that are processed concurrently; the others queue.
     slots: Arc<Semaphore>,
 }
 
@@ -149,7 +150,7 @@
         Self::start_with_slots(behaviour, 8).await
     }
 
-    /// Starts a minion on a free port that works on `slot_count` requests at once.
+    /// Starts a minion on a free port that processes up to `slot_count` requests concurrently.
     pub async fn start_with_slots(
         behaviour: MinionBehaviour,
         slot_count: usize,
@@ -170,34 +171,34 @@
         Ok(Self { address, behaviour, recorder, gauges, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that the minion listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the behaviour of later answers.
+    /// Sets the behaviour for requests that arrive from now on.
     pub fn set_behaviour(&self, behaviour: MinionBehaviour) {
         self.behaviour.send_replace(behaviour);
     }
 
-    /// The requests that ran, in order of arrival.
+    /// Returns the requests that were received in full, in order of arrival.
     pub async fn runs(&self) -> Vec<MinionRun> {
         let (reply, runs) = oneshot::channel();
         let _ = self.recorder.send(RecorderMessage::Read(reply));
         runs.await.unwrap_or_default()
     }
 
-    /// The connections that are open now.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.gauges.connection_count.load(Ordering::SeqCst)
     }
 
-    /// The most connections that were open at once.
+    /// Returns the highest number of connections that were open at the same time.
     pub fn connection_peak(&self) -> usize {
         self.gauges.connection_peak.load(Ordering::SeqCst)
     }
 
-    /// The most requests that were at the minion at once.
+    /// Returns the highest number of requests that were running or queued at the same time.
     pub fn running_peak(&self) -> usize {
         self.gauges.running_peak.load(Ordering::SeqCst)
     }
@@ -232,12 +233,16 @@
 
 async fn serve(stream: TcpStream, context: MinionContext) {
     let _ = stream.set_nodelay(true);
-    let _counted =
-        Counted::new(&context.gauges, |gauges| (&gauges.connection_count, &gauges.connection_peak));
-    let service = service_fn(move |request| answer(request, context.clone()));
+    let _guard = GaugeGuard::new(&context.gauges, |gauges| {
+        (&gauges.connection_count, &gauges.connection_peak)
+    });
+    let service = service_fn(move |request| handle_request(request, context.clone()));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
-        log::debug!(event = "stand_in_connection_ended"; "{error}");
+        log::debug!(
+            event = "stand_in_connection_ended";
+            "connection to the minion failed: {error}"
+        );
     }
 }
 
@@ -245,7 +250,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn behaviour_of(headers: &HeaderMap, default: MinionBehaviour) -> MinionBehaviour {
+fn requested_behaviour(headers: &HeaderMap, default: MinionBehaviour) -> MinionBehaviour {
     let fault = header(headers, "stand-in-fault").and_then(MinionFault::from_name);
     let delay_ms = header(headers, "stand-in-delay-ms").and_then(|text| text.parse().ok());
     MinionBehaviour {
@@ -254,15 +259,15 @@
     }
 }
 
-type AnswerBody = BoxBody<Bytes, io::Error>;
+type ResponseBody = BoxBody<Bytes, io::Error>;
 
-async fn answer(
+async fn handle_request(
     request: Request<Incoming>,
     context: MinionContext,
-) -> Result<Response<AnswerBody>, io::Error> {
-    let behaviour = behaviour_of(request.headers(), *context.behaviour.borrow());
-    let _counted =
-        Counted::new(&context.gauges, |gauges| (&gauges.running_count, &gauges.running_peak));
+) -> Result<Response<ResponseBody>, io::Error> {
+    let behaviour = requested_behaviour(request.headers(), *context.behaviour.borrow());
+    let _guard =
+        GaugeGuard::new(&context.gauges, |gauges| (&gauges.running_count, &gauges.running_peak));
     let text = |name| header(request.headers(), name).unwrap_or_default().to_owned();
     let attempt = text("yuccatack-attempt");
     let organisation = text("yuccatack-organisation");
@@ -271,7 +276,7 @@
     let _ = context.recorder.send(RecorderMessage::Ran(run));
     let _slot = context.slots.acquire().await.map_err(io::Error::other)?;
     if !behaviour.delay.is_zero() {
-        // The timer would round an empty sleep up to a millisecond.
+        // The timer would round a sleep of zero up to 1 ms.
         tokio::time::sleep(behaviour.delay).await;
     }
     match behaviour.fault {
@@ -281,16 +286,18 @@
         MinionFault::Oversized => {
             Ok(echo(&attempt, Bytes::from(vec![b'x'; OVERSIZED_BODY_LENGTH_BYTES])))
         }
-        MinionFault::CloseEarly => Err(io::Error::other("closes early on demand")),
+        MinionFault::CloseEarly => {
+            Err(io::Error::other("injected fault: connection closed without a response"))
+        }
         MinionFault::Silent => std::future::pending().await,
     }
 }
 
-fn full(body: Bytes) -> AnswerBody {
+fn full(body: Bytes) -> ResponseBody {
     Full::new(body).map_err(|never: Infallible| match never {}).boxed()
 }
 
-fn echo(attempt: &str, body: Bytes) -> Response<AnswerBody> {
+fn echo(attempt: &str, body: Bytes) -> Response<ResponseBody> {
     let mut response = Response::new(full(body));
     if let Ok(value) = attempt.parse() {
         response.headers_mut().insert("yuccatack-attempt", value);
@@ -298,15 +305,16 @@
     response
 }
 
-/// An answer that announces one byte more than it has, and then breaks.
-fn truncated(attempt: &str, body: Bytes) -> Response<AnswerBody> {
+/// Builds a response whose `content-length` is one byte more than its body, and whose body ends
+/// with an error.
+fn truncated(attempt: &str, body: Bytes) -> Response<ResponseBody> {
     let length = body.len() + 1;
     let (frames, receiver) = mpsc::channel(2);
     tokio::spawn(async move {
         let _ = frames.send(Ok(Frame::data(body))).await;
-        // Lets the head and the first part leave before the connection breaks.
+        // Without this delay the connection could close before the head and the data are sent.
         tokio::time::sleep(TRUNCATION_DELAY).await;
-        let _ = frames.send(Err(io::Error::other("truncated on demand"))).await;
+        let _ = frames.send(Err(io::Error::other("injected fault: response truncated"))).await;
     });
     let stream = StreamBody::new(tokio_stream::wrappers::ReceiverStream::new(receiver));
     let mut response = echo(attempt, Bytes::new());
--- a/crates/yuccatack_stand_ins/src/queue_worker.rs
+++ b/crates/yuccatack_stand_ins/src/queue_worker.rs
@@ -1,4 +1,4 @@
-//! A worker that runs tasks of queued jobs, as an agent speaks to it.
+//! Test double of a worker that runs tasks of queued jobs, behind the agent's worker port.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,23 +11,23 @@
     PollCall, PollResponse, PollResult, StartCall, StopCall, StopResult, WorkerPort,
 };
 
-/// How long a look waits at most, so that tests see ends soon.
-const LOOK_LIMIT: Duration = Duration::from_millis(40);
+/// Maximum wait of a poll; short, so that tests learn of completed runs soon.
+const POLL_WAIT_LIMIT: Duration = Duration::from_millis(40);
 
 enum Message {
     Start(StartCall, oneshot::Sender<StartResult>),
     Stop(StopCall, oneshot::Sender<StopResult>),
-    Hold(PollCall, oneshot::Sender<PollResponse>),
+    Poll(PollCall, oneshot::Sender<PollResponse>),
     Starts(oneshot::Sender<Vec<RunId>>),
 }
 
-/// A worker without limits of capacity; each task takes the same time.
+/// Worker with unlimited capacity whose tasks all have the same run time.
 #[derive(Clone, Debug)]
 pub struct QueueWorkerStandIn {
     messages: mpsc::UnboundedSender<Message>,
 }
 
-/// Shows what a worker was told.
+/// Handle for tests to read the runs that a worker started.
 #[derive(Clone, Debug)]
 pub struct QueueWorkerHandle {
     messages: mpsc::UnboundedSender<Message>,
@@ -39,29 +39,29 @@
     token: u64,
     lease_until_clock_ms: u64,
     running: BTreeMap<RunId, Instant>,
-    barred: Vec<RunId>,
+    stopped: Vec<RunId>,
     ended: Vec<EndedRun>,
-    next_end: u64,
+    next_end_number: u64,
     starts: Vec<RunId>,
 }
 
 impl QueueWorkerStandIn {
-    /// Starts a worker whose tasks take `run_time` each.
+    /// Spawns a worker whose tasks run for `run_time` each.
     pub fn spawn(run_time: Duration) -> (Self, QueueWorkerHandle) {
-        let (messages, mut waiting) = mpsc::unbounded_channel();
+        let (messages, mut inbox) = mpsc::unbounded_channel();
         let mut state = State {
             started_at: Instant::now(),
             run_time,
             token: 0,
             lease_until_clock_ms: 0,
             running: BTreeMap::new(),
-            barred: Vec::new(),
+            stopped: Vec::new(),
             ended: Vec::new(),
-            next_end: 1,
+            next_end_number: 1,
             starts: Vec::new(),
         };
         tokio::spawn(async move {
-            while let Some(message) = waiting.recv().await {
+            while let Some(message) = inbox.recv().await {
                 state.handle(message);
             }
         });
@@ -70,14 +70,14 @@
 }
 
 impl QueueWorkerHandle {
-    /// Every run that was started, in order.
+    /// Returns every run that was started, in start order.
     pub async fn starts(&self) -> Vec<RunId> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let sent = self.messages.send(Message::Starts(reply));
         if sent.is_err() {
             return Vec::new();
         }
-        answer.await.unwrap_or_default()
+        response.await.unwrap_or_default()
     }
 }
 
@@ -88,42 +88,42 @@
 
     fn end(&mut self, run: &RunId, outcome: RunOutcome) {
         if self.running.remove(run).is_some() {
-            let number = self.next_end;
-            self.next_end += 1;
+            let number = self.next_end_number;
+            self.next_end_number += 1;
             self.ended.push(EndedRun { number, run: run.clone(), outcome, checkpoint: None });
         }
     }
 
-    /// Ends what is done, and everything once the lease is over.
+    /// Ends the runs that are due, or all runs once the lease has expired.
     fn advance(&mut self) {
         let now = Instant::now();
-        let lapsed = self.clock_ms() > self.lease_until_clock_ms;
-        let over: Vec<RunId> = self
+        let lease_expired = self.clock_ms() > self.lease_until_clock_ms;
+        let completed: Vec<RunId> = self
             .running
             .iter()
-            .filter(|(_, ends_at)| lapsed || **ends_at <= now)
+            .filter(|(_, ends_at)| lease_expired || **ends_at <= now)
             .map(|(run, _)| run.clone())
             .collect();
-        for run in over {
-            self.end(&run, if lapsed { RunOutcome::Lapsed } else { RunOutcome::Done });
+        for run in completed {
+            self.end(&run, if lease_expired { RunOutcome::Lapsed } else { RunOutcome::Done });
         }
     }
 
     fn handle(&mut self, message: Message) {
         self.advance();
-        // A caller that has given up is no concern of the worker.
+        // Sending a reply fails only if the caller no longer waits for it.
         match message {
             Message::Start(call, reply) => {
                 let _ = reply.send(self.start(call));
             }
             Message::Stop(call, reply) => {
                 self.token = self.token.max(call.token);
-                self.barred.push(call.run.clone());
+                self.stopped.push(call.run.clone());
                 self.end(&call.run, RunOutcome::Stopped);
                 let _ = reply.send(StopResult::Confirmed);
             }
-            Message::Hold(call, reply) => {
-                let _ = reply.send(self.hold(&call));
+            Message::Poll(call, reply) => {
+                let _ = reply.send(self.poll(&call));
             }
             Message::Starts(reply) => {
                 let _ = reply.send(self.starts.clone());
@@ -133,7 +133,7 @@
 
     fn start(&mut self, call: StartCall) -> StartResult {
         let late = call.until_clock_ms < self.clock_ms();
-        if call.token < self.token || late || self.barred.contains(&call.run) {
+        if call.token < self.token || late || self.stopped.contains(&call.run) {
             return StartResult::Refused;
         }
         self.token = call.token;
@@ -145,7 +145,7 @@
         StartResult::Begun
     }
 
-    fn hold(&mut self, call: &PollCall) -> PollResponse {
+    fn poll(&mut self, call: &PollCall) -> PollResponse {
         self.token = self.token.max(call.token);
         self.lease_until_clock_ms =
             self.lease_until_clock_ms.max(call.until_clock_ms.unwrap_or_default());
@@ -167,30 +167,30 @@
 
 impl WorkerPort for QueueWorkerStandIn {
     async fn start(&self, call: StartCall) -> StartResult {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let sent = self.messages.send(Message::Start(call, reply)).is_ok();
         if !sent {
             return StartResult::Unknown;
         }
-        answer.await.unwrap_or(StartResult::Unknown)
+        response.await.unwrap_or(StartResult::Unknown)
     }
 
     async fn stop(&self, call: StopCall) -> StopResult {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         let sent = self.messages.send(Message::Stop(call, reply)).is_ok();
         if !sent {
             return StopResult::Unknown;
         }
-        answer.await.unwrap_or(StopResult::Unknown)
+        response.await.unwrap_or(StopResult::Unknown)
     }
 
     async fn poll(&self, call: PollCall) -> PollResult {
-        sleep(LOOK_LIMIT.min(call.wait_ms.into())).await;
-        let (reply, answer) = oneshot::channel();
-        let sent = self.messages.send(Message::Hold(call, reply)).is_ok();
+        sleep(POLL_WAIT_LIMIT.min(call.wait_ms.into())).await;
+        let (reply, response) = oneshot::channel();
+        let sent = self.messages.send(Message::Poll(call, reply)).is_ok();
         if !sent {
             return PollResult::Failed;
         }
-        answer.await.map_or(PollResult::Failed, PollResult::Answered)
+        response.await.map_or(PollResult::Failed, PollResult::Answered)
     }
 }
--- a/crates/yuccatack_stand_ins/src/worker.rs
+++ b/crates/yuccatack_stand_ins/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker over HTTP, as a task of the test's own process.
+//! Test double of a worker that sends heartbeats over HTTP, as a task in the process of the test.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,22 +17,24 @@
 
 use crate::worker_model::{AcceleratorConflict, TaskRecord, WorkerBehaviour, WorkerModel};
 
-/// A held reply comes within a heartbeat interval; later ones are given up.
-const REPLY_LIMIT: Duration = Duration::from_millis(3_000);
-/// The wait after a control replica refused or failed, before the next one is asked.
-const RETRY_WAIT: Duration = Duration::from_millis(200);
+/// Time-out of a heartbeat. A leader delays its reply by at most one heartbeat interval.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Delay before the next control replica is tried after one refused or failed, and between the
+/// heartbeats of an unregistered worker.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The wait after commands that changed nothing, for example while a checkpoint is written.
-const REPEAT_WAIT: Duration = Duration::from_millis(500);
+/// Delay of the next heartbeat after commands that changed no task state, for example while a
+/// checkpoint is written.
+const REPEATED_COMMAND_DELAY: Duration = Duration::from_millis(500);
 
-/// How a worker stand-in is set up.
+/// Settings of a [`WorkerStandIn`].
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
-    /// The worker and what it offers.
+    /// Name, incarnation, location and resources that the worker registers with.
     pub registration: WorkerRegistration,
-    /// Where the control replicas answer workers.
+    /// Addresses on which the control replicas accept heartbeats, tried in turn.
     pub control_addresses: Vec<SocketAddr>,
-    /// How long tasks run unless a job's run time is set.
+    /// Run time of the tasks of jobs without a run time of their own.
     pub default_run_time: DurationMs,
 }
 
@@ -45,7 +47,7 @@
     Violations(oneshot::Sender<Vec<AcceleratorConflict>>),
 }
 
-/// A running worker. It ends when this is dropped.
+/// Running test double of a worker; dropping it stops the heartbeats and discards its tasks.
 #[derive(Debug)]
 pub struct WorkerStandIn {
     messages: mpsc::UnboundedSender<Message>,
@@ -60,34 +62,34 @@
         Self { messages, task }
     }
 
-    /// Sets how long the tasks of a job run.
+    /// Sets the run time of tasks of `job` that start from now on.
     pub fn set_run_time(&self, job: &JobName, run_time: DurationMs) {
         self.send(Message::RunTime(job.clone(), run_time));
     }
 
-    /// Sets how long a checkpoint takes.
+    /// Sets the duration of a checkpoint; it is 200 ms by default.
     pub fn set_checkpoint_time(&self, checkpoint_time: DurationMs) {
         self.send(Message::CheckpointTime(checkpoint_time));
     }
 
-    /// Changes how the worker treats its tasks.
+    /// Sets the behaviour towards commands and tasks.
     pub fn set_behaviour(&self, behaviour: WorkerBehaviour) {
         self.send(Message::Behaviour(behaviour));
     }
 
-    /// Ends the worker process and starts it under a new incarnation.
+    /// Simulates a restart of the worker process under a new random incarnation.
     pub fn restart(&self) {
         self.send(Message::Restart);
     }
 
-    /// Every task that was started, in order.
+    /// Returns a record of every task that was started, in start order.
     pub async fn records(&self) -> Vec<TaskRecord> {
         let (reply, answer) = oneshot::channel();
         self.send(Message::Records(reply));
         answer.await.unwrap_or_default()
     }
 
-    /// Commands that no correct scheduler sends.
+    /// Returns the commands that a correct scheduler never sends.
     pub async fn violations(&self) -> Vec<AcceleratorConflict> {
         let (reply, answer) = oneshot::channel();
         self.send(Message::Violations(reply));
@@ -95,7 +97,7 @@
     }
 
     fn send(&self, message: Message) {
-        // The actor ends only with this handle, so there is nobody to tell about an error.
+        // The actor runs until this handle is dropped, so the channel is open.
         let _ = self.messages.send(message);
     }
 }
@@ -106,15 +108,15 @@
     }
 }
 
-type Answer = Result<HeartbeatReply, String>;
+type HeartbeatResult = Result<HeartbeatReply, String>;
 
 struct Actor {
     model: WorkerModel,
     addresses: Vec<SocketAddr>,
-    address: usize,
+    address_index: usize,
     origin: Instant,
     next_heartbeat: Instant,
-    in_flight: Option<(TimestampMs, JoinHandle<Answer>)>,
+    in_flight: Option<(TimestampMs, JoinHandle<HeartbeatResult>)>,
 }
 
 impl Actor {
@@ -122,7 +124,7 @@
         Self {
             model: WorkerModel::new(settings.registration, settings.default_run_time),
             addresses: settings.control_addresses,
-            address: 0,
+            address_index: 0,
             origin: Instant::now(),
             next_heartbeat: Instant::now(),
             in_flight: None,
@@ -140,16 +142,16 @@
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) {
         loop {
             let frozen = self.model.behaviour() == WorkerBehaviour::Frozen;
-            let event = self.model.next_event().map(|at| self.instant(at));
-            let wake = event.unwrap_or(self.next_heartbeat).min(self.next_heartbeat);
+            let next_event = self.model.next_event().map(|at| self.instant(at));
+            let wake_at = next_event.unwrap_or(self.next_heartbeat).min(self.next_heartbeat);
             let in_flight = self.in_flight.as_mut().map(|(_, task)| task);
             tokio::select! {
                 message = inbox.recv() => match message {
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                answer = wait(in_flight), if !frozen => self.finish_heartbeat(answer),
-                () = tokio::time::sleep_until(wake), if !frozen => self.wake(),
+                answer = wait_for_reply(in_flight), if !frozen => self.finish_heartbeat(answer),
+                () = tokio::time::sleep_until(wake_at), if !frozen => self.advance(),
             }
         }
     }
@@ -160,88 +162,94 @@
             Message::CheckpointTime(time) => self.model.set_checkpoint_time(time),
             Message::Behaviour(behaviour) => self.model.set_behaviour(behaviour),
             Message::Restart => {
-                self.abandon();
+                self.cancel_heartbeat();
                 self.model.restart(Incarnation::random(), self.now());
                 self.next_heartbeat = Instant::now();
             }
-            // A caller that no longer waits is no fault of the worker.
+            // Sending a reply fails only if the caller no longer waits for it.
             Message::Records(reply) => drop(reply.send(self.model.records().to_vec())),
             Message::Violations(reply) => drop(reply.send(self.model.violations().to_vec())),
         }
     }
 
-    fn wake(&mut self) {
+    fn advance(&mut self) {
         let changed = self.model.tick(self.now());
         if changed || Instant::now() >= self.next_heartbeat {
             self.send_heartbeat();
         }
     }
 
-    fn abandon(&mut self) {
+    fn cancel_heartbeat(&mut self) {
         if let Some((_, task)) = self.in_flight.take() {
             task.abort();
         }
     }
 
-    /// Sends a heartbeat in place of one that is still held.
+    /// Sends a heartbeat and cancels an earlier one that still awaits its reply.
     fn send_heartbeat(&mut self) {
-        self.abandon();
+        self.cancel_heartbeat();
         let report = self.model.heartbeat();
-        let Some(address) = self.addresses.get(self.address % self.addresses.len().max(1)) else {
+        let Some(address) = self.addresses.get(self.address_index % self.addresses.len().max(1))
+        else {
             return;
         };
         let task = tokio::spawn(exchange(*address, report));
         self.in_flight = Some((self.now(), task));
-        // The reply sets the next heartbeat; this is the limit when none arrives.
-        self.next_heartbeat = Instant::now() + REPLY_LIMIT + RETRY_WAIT;
+        // The reply reschedules the next heartbeat; this is the fallback if none arrives.
+        self.next_heartbeat = Instant::now() + REPLY_TIMEOUT + RETRY_DELAY;
     }
 
-    fn finish_heartbeat(&mut self, answer: Answer) {
+    fn finish_heartbeat(&mut self, answer: HeartbeatResult) {
         let Some((sent_at, _)) = self.in_flight.take() else { return };
         let now = self.now();
-        // A task that ended with its lease must not be revived by the reply.
+        // Expires the old lease first: the reply may renew the lease, but must not let tasks run on
+        // that had to end with the old one.
         let ended = self.model.tick(now);
         match answer {
             Ok(reply) => {
                 let changed = self.model.handle_reply(&reply, sent_at, now);
                 self.next_heartbeat = if reply.lease.is_none() {
-                    // An unregistered worker asks again soon, so that a start-up is short.
-                    Instant::now() + RETRY_WAIT
+                    // A worker without a lease retries soon, which shortens start-up.
+                    Instant::now() + RETRY_DELAY
                 } else if changed || ended || !reply.acknowledged.is_empty() {
-                    // A reply that was not held leaves no request open for the next command.
+                    // The leader can only send the next command in reply to a new heartbeat.
                     Instant::now()
                 } else if !reply.commands.is_empty() {
-                    // Commands that change nothing yet come again with each reply.
-                    Instant::now() + REPEAT_WAIT
+                    // The leader repeats pending commands in every reply, so an immediate
+                    // heartbeat would cause a busy loop.
+                    Instant::now() + REPEATED_COMMAND_DELAY
                 } else {
-                    // Counted from the sending, because the reply may have been held.
+                    // Counted from `sent_at`, because the leader may have delayed the reply.
                     self.instant(sent_at + HEARTBEAT_INTERVAL)
                 };
             }
             Err(error) => {
-                log::debug!(event = "heartbeat_failed", error = error.as_str(); "trying the next replica");
-                self.address += 1;
-                self.next_heartbeat = Instant::now() + RETRY_WAIT;
+                log::debug!(
+                    event = "heartbeat_failed", error = error.as_str();
+                    "heartbeat failed; trying the next control replica"
+                );
+                self.address_index += 1;
+                self.next_heartbeat = Instant::now() + RETRY_DELAY;
             }
         }
     }
 }
 
-async fn wait(task: Option<&mut JoinHandle<Answer>>) -> Answer {
+async fn wait_for_reply(task: Option<&mut JoinHandle<HeartbeatResult>>) -> HeartbeatResult {
     match task {
         Some(task) => task.await.unwrap_or_else(|error| Err(error.to_string())),
         None => std::future::pending().await,
     }
 }
 
-async fn exchange(address: SocketAddr, report: HeartbeatReport) -> Answer {
-    match tokio::time::timeout(REPLY_LIMIT, post(address, report)).await {
+async fn exchange(address: SocketAddr, report: HeartbeatReport) -> HeartbeatResult {
+    match tokio::time::timeout(REPLY_TIMEOUT, post(address, report)).await {
         Ok(answer) => answer,
-        Err(_) => Err(format!("no reply from {address} in time")),
+        Err(_) => Err(format!("no reply from control replica {address} within {REPLY_TIMEOUT:?}")),
     }
 }
 
-async fn post(address: SocketAddr, report: HeartbeatReport) -> Answer {
+async fn post(address: SocketAddr, report: HeartbeatReport) -> HeartbeatResult {
     let path = format!("/v1/workers/{}/heartbeat", report.registration.worker);
     let body =
         serde_json::to_vec(&HeartbeatBody::from(report)).map_err(|error| error.to_string())?;
@@ -262,7 +270,9 @@
     let body = response.into_body().collect().await.map_err(|error| error.to_string())?.to_bytes();
     connection.abort();
     if status != StatusCode::OK {
-        return Err(format!("{address} answered {status}"));
+        return Err(format!(
+            "control replica {address} refused the heartbeat with HTTP status {status}"
+        ));
     }
     let reply: HeartbeatReplyBody =
         serde_json::from_slice(&body).map_err(|error| error.to_string())?;
--- a/crates/yuccatack_stand_ins/src/worker_model.rs
+++ b/crates/yuccatack_stand_ins/src/worker_model.rs
@@ -1,4 +1,4 @@
-//! The decisions of a worker, without I/O and clock.
+//! Simulates a worker without I/O and without reading a clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,30 +8,30 @@
     WorkerCommand, WorkerRegistration,
 };
 
-/// How a worker treats its tasks.
+/// Response of a worker to commands and outcome of its tasks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum WorkerBehaviour {
-    /// Runs every task to its end.
+    /// Runs every task until its run time is over.
     #[default]
     Normal,
-    /// Every task fails shortly after its start.
+    /// Fails every task shortly after its start.
     FailAll,
-    /// Heartbeats, but follows no command.
+    /// Sends heartbeats, but ignores all commands.
     Ignore,
-    /// Does nothing at all until it is told otherwise, like a stopped process.
+    /// Stops sending heartbeats and advancing tasks, like a suspended process.
     Frozen,
 }
 
-/// What happened to one task.
+/// Start and end of one task that ran on the worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskRecord {
-    /// The task.
+    /// Job, attempt and index of the task.
     pub task: TaskReference,
-    /// When it started.
+    /// Time at which the worker carried out the start command.
     pub started_at: TimestampMs,
-    /// When and how it ended.
+    /// End time and final state; `None` while the task runs.
     pub ended: Option<(TimestampMs, ReportedState)>,
-    /// The attempt whose checkpoint it continued.
+    /// Attempt whose checkpoint the task resumed from; `None` for a start from the beginning.
     pub resume_epoch: Option<FencingEpoch>,
 }
 
@@ -42,7 +42,7 @@
     resume_epoch: Option<FencingEpoch>,
     due_at: Option<TimestampMs>,
     checkpointing: bool,
-    record: Option<usize>,
+    record_index: Option<usize>,
 }
 
 impl ModelTask {
@@ -51,19 +51,19 @@
     }
 }
 
-/// A command to use an accelerator that another task of the worker holds.
+/// Command to use an accelerator that another active task of the worker holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceleratorConflict {
-    /// The task that was to be prepared.
+    /// Task that the command prepares.
     pub task: TaskReference,
-    /// The task that holds the accelerator.
+    /// Task that holds the accelerator.
     pub holder: TaskReference,
 }
 
-/// Failing tasks run this long, so that the start is seen before the failure.
-const FAILURE_TIME: DurationMs = DurationMs::new(50);
+/// Run time of a failing task; long enough for a heartbeat to report the start before the failure.
+const FAILURE_RUN_TIME: DurationMs = DurationMs::new(50);
 
-/// A worker that runs tasks which only take time.
+/// Simulated worker whose tasks do nothing for a given run time.
 #[derive(Clone, Debug)]
 pub struct WorkerModel {
     registration: WorkerRegistration,
@@ -71,7 +71,7 @@
     lease_end: Option<TimestampMs>,
     tasks: BTreeMap<TaskReference, ModelTask>,
     ended: BTreeSet<TaskReference>,
-    newest: BTreeMap<JobName, FencingEpoch>,
+    newest_epochs: BTreeMap<JobName, FencingEpoch>,
     run_times: BTreeMap<JobName, DurationMs>,
     default_run_time: DurationMs,
     checkpoint_time: DurationMs,
@@ -81,7 +81,7 @@
 }
 
 impl WorkerModel {
-    /// A worker whose tasks take `default_run_time`.
+    /// Creates a worker whose tasks run for `default_run_time` unless their job's run time is set.
     pub fn new(registration: WorkerRegistration, default_run_time: DurationMs) -> Self {
         Self {
             registration,
@@ -89,7 +89,7 @@
             lease_end: None,
             tasks: BTreeMap::new(),
             ended: BTreeSet::new(),
-            newest: BTreeMap::new(),
+            newest_epochs: BTreeMap::new(),
             run_times: BTreeMap::new(),
             default_run_time,
             checkpoint_time: DurationMs::new(200),
@@ -99,27 +99,28 @@
         }
     }
 
-    /// Sets how long the tasks of a job run.
+    /// Sets the run time of tasks of `job` that start from now on.
     pub fn set_run_time(&mut self, job: &JobName, run_time: DurationMs) {
         self.run_times.insert(job.clone(), run_time);
     }
 
-    /// Sets how long a checkpoint takes.
+    /// Sets the duration of a checkpoint; it is 200 ms by default.
     pub fn set_checkpoint_time(&mut self, checkpoint_time: DurationMs) {
         self.checkpoint_time = checkpoint_time;
     }
 
-    /// Changes how the worker treats its tasks.
+    /// Sets the behaviour towards commands and tasks.
     pub fn set_behaviour(&mut self, behaviour: WorkerBehaviour) {
         self.behaviour = behaviour;
     }
 
-    /// How the worker treats its tasks.
+    /// Returns the behaviour towards commands and tasks.
     pub fn behaviour(&self) -> WorkerBehaviour {
         self.behaviour
     }
 
-    /// Ends the process and starts it again: every task is gone.
+    /// Simulates a restart of the worker process: stops every task and continues as `incarnation`,
+    /// without tasks or a lease.
     pub fn restart(&mut self, incarnation: Incarnation, now: TimestampMs) {
         let active: Vec<TaskReference> = self.active().cloned().collect();
         for task in active {
@@ -130,35 +131,36 @@
         self.lease_end = None;
         self.tasks.clear();
         self.ended.clear();
-        self.newest.clear();
+        self.newest_epochs.clear();
     }
 
-    /// Every task that was started, in order.
+    /// Returns a record of every task that was started, in start order.
     pub fn records(&self) -> &[TaskRecord] {
         &self.records
     }
 
-    /// Commands that no correct scheduler sends to a truthful worker.
+    /// Returns the commands that a correct scheduler never sends to a worker that reports its tasks
+    /// truthfully.
     pub fn violations(&self) -> &[AcceleratorConflict] {
         &self.violations
     }
 
-    /// The worker and what it offers.
+    /// Returns the name, incarnation, location and resources that the worker registers with.
     pub fn registration(&self) -> &WorkerRegistration {
         &self.registration
     }
 
-    /// Tasks that hold capacity.
+    /// Returns the prepared and running tasks, which occupy capacity.
     pub fn active(&self) -> impl Iterator<Item = &TaskReference> {
         self.tasks.iter().filter(|(_, task)| task.is_active()).map(|(reference, _)| reference)
     }
 
-    /// The sequence of the last heartbeat; replies to earlier ones are of no use.
+    /// Returns the sequence number of the last heartbeat; replies to earlier ones are ignored.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// The next heartbeat.
+    /// Builds the next heartbeat and increments the sequence number.
     pub fn heartbeat(&mut self) -> HeartbeatReport {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|(reference, task)| ReportedTask {
@@ -173,10 +175,11 @@
         }
     }
 
-    /// Follows the reply to the heartbeat that was sent at `sent_at`. Returns whether a task
-    /// changed, so that a heartbeat is due at once.
+    /// Handles the reply to the heartbeat that was sent at `sent_at`. Returns `true` if the state
+    /// of a task changed, so that a heartbeat is due immediately.
     ///
-    /// The lease counts from the sending, because the leader counts from a later moment.
+    /// The lease starts at `sent_at`. The leader counts it from a later time, so the lease never
+    /// lasts longer at the worker than at the leader.
     pub fn handle_reply(
         &mut self,
         reply: &HeartbeatReply,
@@ -195,25 +198,25 @@
                 self.tasks.remove(task);
             }
         }
-        let holds_lease = self.lease_end.is_some_and(|end| end > now);
-        if !holds_lease || self.behaviour == WorkerBehaviour::Ignore {
+        let has_lease = self.lease_end.is_some_and(|end| end > now);
+        if !has_lease || self.behaviour == WorkerBehaviour::Ignore {
             return false;
         }
         let mut changed = false;
         for command in &reply.commands {
-            changed |= self.obey(command, now);
+            changed |= self.execute(command, now);
         }
         changed
     }
 
-    fn obey(&mut self, command: &WorkerCommand, now: TimestampMs) -> bool {
+    fn execute(&mut self, command: &WorkerCommand, now: TimestampMs) -> bool {
         let reference = &command.task;
-        let newest = self.newest.entry(reference.job.clone()).or_default();
-        if reference.epoch < *newest {
-            // An old attempt may still be told to stop; nothing else of it is followed.
+        let newest_epoch = self.newest_epochs.entry(reference.job.clone()).or_default();
+        if reference.epoch < *newest_epoch {
+            // Of the commands for an outdated attempt, only a stop is carried out.
             return command.kind == CommandKind::Stop && self.stop(reference, now);
         }
-        *newest = reference.epoch;
+        *newest_epoch = reference.epoch;
         match &command.kind {
             CommandKind::Prepare { accelerators, resume_epoch, .. } => {
                 self.prepare(reference, accelerators, *resume_epoch)
@@ -246,7 +249,7 @@
             resume_epoch,
             due_at: None,
             checkpointing: false,
-            record: None,
+            record_index: None,
         };
         self.tasks.insert(reference.clone(), task);
         true
@@ -259,10 +262,10 @@
         if task.state != ReportedState::Prepared {
             return false;
         }
-        let run_time = if fails { FAILURE_TIME } else { run_time };
+        let run_time = if fails { FAILURE_RUN_TIME } else { run_time };
         task.state = ReportedState::Running;
         task.due_at = Some(now + run_time);
-        task.record = Some(self.records.len());
+        task.record_index = Some(self.records.len());
         self.records.push(TaskRecord {
             task: reference.clone(),
             started_at: now,
@@ -272,7 +275,7 @@
         true
     }
 
-    /// Begins a checkpoint. The task keeps running until it is saved.
+    /// Begins a checkpoint. The task runs until the checkpoint is saved.
     fn checkpoint(&mut self, reference: &TaskReference, now: TimestampMs) -> bool {
         let saved_at = now + self.checkpoint_time;
         let Some(task) = self.tasks.get_mut(reference) else { return false };
@@ -294,15 +297,15 @@
 
     fn stop(&mut self, reference: &TaskReference, now: TimestampMs) -> bool {
         if !self.tasks.contains_key(reference) {
-            // The stop is confirmed and remembered also for a task that never arrived, so that a
-            // late `prepare` does not bring it to life.
+            // A stop is also confirmed and recorded for an unknown task, so that a delayed
+            // `prepare` command cannot start the task after its stop.
             let task = ModelTask {
                 state: ReportedState::Stopped,
                 accelerators: Vec::new(),
                 resume_epoch: None,
                 due_at: None,
                 checkpointing: false,
-                record: None,
+                record_index: None,
             };
             self.ended.insert(reference.clone());
             self.tasks.insert(reference.clone(), task);
@@ -319,40 +322,41 @@
         let Some(task) = self.tasks.get_mut(reference) else { return };
         task.state = state;
         self.ended.insert(reference.clone());
-        let record = task.record.and_then(|position| self.records.get_mut(position));
+        let record = task.record_index.and_then(|index| self.records.get_mut(index));
         if let Some(record) = record {
             record.ended = Some((now, state));
         }
     }
 
-    /// Lets time pass: ends tasks that are done, and all of them when the lease has ended.
-    /// Returns whether a task changed.
+    /// Advances the worker to `now`: ends tasks that are due, or every task once the lease has
+    /// expired. Returns `true` if a task ended.
     pub fn tick(&mut self, now: TimestampMs) -> bool {
         if self.behaviour == WorkerBehaviour::Frozen {
             return false;
         }
-        let leased = self.lease_end.is_some_and(|end| end > now);
-        let mut endings = Vec::new();
+        let has_lease = self.lease_end.is_some_and(|end| end > now);
+        let mut ended_tasks = Vec::new();
         for (reference, task) in &self.tasks {
             let due = task.due_at.is_some_and(|due| due <= now);
-            if !task.is_active() || (leased && !due) {
+            if !task.is_active() || (has_lease && !due) {
                 continue;
             }
             let state = match self.behaviour {
-                _ if !leased => ReportedState::Stopped,
+                _ if !has_lease => ReportedState::Stopped,
                 _ if task.checkpointing => ReportedState::Checkpointed,
                 WorkerBehaviour::FailAll => ReportedState::Failed,
                 _ => ReportedState::Succeeded,
             };
-            endings.push((reference.clone(), state));
+            ended_tasks.push((reference.clone(), state));
         }
-        for (reference, state) in &endings {
+        for (reference, state) in &ended_tasks {
             self.end(reference, *state, now);
         }
-        !endings.is_empty()
+        !ended_tasks.is_empty()
     }
 
-    /// When [`WorkerModel::tick`] has something to do.
+    /// Returns the next time at which [`WorkerModel::tick`] ends a task: the earliest end of a task
+    /// or the expiry of the lease. `None` if no task is active.
     pub fn next_event(&self) -> Option<TimestampMs> {
         let active = || self.tasks.values().filter(|task| task.is_active());
         let due = active().filter_map(|task| task.due_at).min();
--- a/crates/yuccatack_stand_ins/tests/worker_stand_in.rs
+++ b/crates/yuccatack_stand_ins/tests/worker_stand_in.rs
@@ -1,4 +1,4 @@
-//! The worker stand-in over HTTP and its rules.
+//! Worker test double: heartbeats over HTTP, leases and fencing.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::convert::Infallible;
@@ -44,8 +44,8 @@
     }
 }
 
-/// A control replica without a log: commands are in force at once.
-async fn control(
+/// Runs a control replica without a replicated log: commands are applied immediately.
+async fn run_control_replica(
     jobs: Vec<JobSpec>,
     mut inbox: mpsc::Receiver<Exchange>,
     done: mpsc::Sender<JobName>,
@@ -56,7 +56,7 @@
     let mut jobs = Some(jobs);
     while let Some((report, reply)) = inbox.recv().await {
         let at = TimestampMs::new(origin.elapsed().as_millis() as u64);
-        let (answer, mut commands) = leader.heartbeat(&table, report, at);
+        let (response, mut commands) = leader.heartbeat(&table, report, at);
         if table.workers().count() == 2 {
             let jobs = jobs.take().unwrap_or_default();
             commands.extend(jobs.into_iter().map(|job| LeaseCommand::SubmitJob { job, at }));
@@ -71,7 +71,7 @@
             }
             commands = leader.schedule(&table, at);
         }
-        let _ = reply.send(answer);
+        let _ = reply.send(response);
     }
 }
 
@@ -82,7 +82,7 @@
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             let sender = sender.clone();
-            let service = service_fn(move |request| answer(request, sender.clone()));
+            let service = service_fn(move |request| handle_request(request, sender.clone()));
             let connection = hyper::server::conn::http1::Builder::new();
             tokio::spawn(connection.serve_connection(TokioIo::new(stream), service));
         }
@@ -90,27 +90,28 @@
     address
 }
 
-async fn answer(
+async fn handle_request(
     request: Request<Incoming>,
     sender: mpsc::Sender<Exchange>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let worker = request.uri().path().split('/').nth(3).unwrap().to_owned();
     let body = request.into_body().collect().await.unwrap().to_bytes();
     let body: HeartbeatBody = serde_json::from_slice(&body).unwrap();
-    let (reply, answer) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     sender.send((body.into_report(&worker).unwrap(), reply)).await.unwrap();
-    let reply = HeartbeatReplyBody::from(answer.await.unwrap());
+    let reply = HeartbeatReplyBody::from(response.await.unwrap());
     Ok(Response::new(Full::new(Bytes::from(serde_json::to_vec(&reply).unwrap()))))
 }
 
-/// Guards against a stand-in that does not speak the worker protocol from registration to success.
+/// Guards against a test double that breaks the worker protocol between registration and the
+/// success of a job, or that does not move on from an unreachable control replica.
 #[tokio::test]
 async fn runs_gang() {
     let (sender, inbox) = mpsc::channel(16);
     let (done, mut finished) = mpsc::channel(16);
-    tokio::spawn(control(vec![job("gang")], inbox, done));
+    tokio::spawn(run_control_replica(vec![job("gang")], inbox, done));
     let address = serve(sender).await;
-    // The first address is closed, so that the stand-in has to try the next one.
+    // Nothing listens on the first address, so the worker has to try the next one.
     let closed = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     let workers: Vec<WorkerStandIn> = ["worker-0", "worker-1"]
         .iter()
@@ -162,7 +163,7 @@
     model.handle_reply(&reply, TimestampMs::new(now), TimestampMs::new(now));
 }
 
-/// Guards against tasks that run on after the lease has ended.
+/// Guards against tasks that keep running after the lease has expired.
 #[test]
 fn stops_at_lease_end() {
     let mut model = model();
@@ -172,10 +173,10 @@
     assert_eq!(model.records()[0].ended, Some((TimestampMs::new(7_000), ReportedState::Stopped)));
 }
 
-/// Guards against a delayed command of an old attempt, and against a `prepare` that arrives after
-/// the `stop` that overtook it.
+/// Guards against a task that starts from a command of an outdated attempt, or from a `prepare`
+/// that arrives after the `stop` of its task. Both happen when the network reorders commands.
 #[test]
-fn obeys_epochs() {
+fn outdated_commands_ignored() {
     let mut model = model();
     send(&mut model, 1_000, vec![command(2, CommandKind::Stop)]);
     send(&mut model, 1_100, vec![command(2, prepare()), command(1, prepare())]);
