--- a/tests/load_kills.rs
+++ b/tests/load_kills.rs
@@ -15,7 +15,7 @@
 use support::minion_proxy::MinionProxy;
 use support::{Deployment, organisation, seed, service, submit, wait_for_leader, wait_for_minions};
 use tokio::task::JoinSet;
-use yuccatack_stand_ins::{CallerAnswer, CallerStandIn, MinionBehaviour, MinionStandIn};
+use yuccatack_stand_ins::{CallerResponse, CallerStandIn, MinionBehaviour, MinionStandIn};
 
 const ORGANISATION: &str = "putrajaya-club";
 const SERVICE: &str = "results";
@@ -47,7 +47,7 @@
 /// Result of one submission of a call.
 #[derive(Clone, Debug)]
 enum Submission {
-    Completed(CallerAnswer),
+    Completed(CallerResponse),
     /// Refused with a reason; `true` if the refusal also covers earlier submissions of the key.
     NotRun(String, bool),
     Unknown(String),
@@ -60,7 +60,7 @@
     submissions: Vec<Submission>,
 }
 
-fn submission(answer: std::io::Result<CallerAnswer>) -> Submission {
+fn submission(answer: std::io::Result<CallerResponse>) -> Submission {
     let Ok(answer) = answer else { return Submission::Lost };
     let reason = answer.header("yuccatack-reason").unwrap_or_default().to_owned();
     match answer.outcome() {
@@ -79,7 +79,7 @@
         let entry = &entries[(call.first_entry + number) % entries.len()];
         let body = Bytes::from(call.body.clone());
         let answer = match &call.key {
-            Some(key) => entry.request_once(ORGANISATION, SERVICE, key, body).await,
+            Some(key) => entry.request_with_key(ORGANISATION, SERVICE, key, body).await,
             None => entry.request(ORGANISATION, SERVICE, body).await,
         };
         let submission = submission(answer);
--- a/tests/minion_departure.rs
+++ b/tests/minion_departure.rs
@@ -11,7 +11,9 @@
 use support::{Deployment, complete_request, organisation, service, submit, wait_for_minions};
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::MissedTickBehavior;
-use yuccatack_stand_ins::{CallerAnswer, CallerStandIn, MinionBehaviour, MinionRun, MinionStandIn};
+use yuccatack_stand_ins::{
+    CallerResponse, CallerStandIn, MinionBehaviour, MinionRun, MinionStandIn,
+};
 
 /// Time after the signal from which the minion must get no new requests.
 const DEPARTURE_LIMIT: Duration = Duration::from_secs(3);
@@ -35,7 +37,7 @@
     sent_at: Instant,
     latency: Duration,
     body: String,
-    answer: CallerAnswer,
+    answer: CallerResponse,
 }
 
 /// Longer than `DEPARTURE_LIMIT`, so that the agent is still draining when the limit has passed.
@@ -129,7 +131,7 @@
 }
 
 /// Starts long non-idempotent requests, so that some keep the departing agent draining.
-async fn start_long_requests(scenario: &Scenario) -> JoinSet<CallerAnswer> {
+async fn start_long_requests(scenario: &Scenario) -> JoinSet<CallerResponse> {
     let delay = LONG_RUN_TIME;
     scenario.departing.set_behaviour(MinionBehaviour { delay, ..MinionBehaviour::default() });
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
@@ -139,7 +141,7 @@
         requests.spawn(async move {
             let key = format!("{now_ms}-held-{number}");
             let body = key.clone().into();
-            caller.request_once("putrajaya-club", "results", &key, body).await.unwrap()
+            caller.request_with_key("putrajaya-club", "results", &key, body).await.unwrap()
         });
     }
     tokio::time::sleep(LONG_REQUEST_LEAD_TIME).await;
