--- a/crates/yuccatack_cli/src/arguments.rs
+++ b/crates/yuccatack_cli/src/arguments.rs
@@ -1,14 +1,14 @@
-//! The arguments of every command.
+//! Definition of the commands and their arguments.
 
 use clap::builder::PossibleValuesParser;
 use clap::{Arg, ArgAction, Command, ValueHint, value_parser};
 use clap_complete::Shell;
 
-/// The kinds of record, as `get` and `withdraw` take them.
+/// Record kinds that `get` and `withdraw` accept.
 const KINDS: [&str; 7] =
     ["organisation", "guarantee", "job", "policy", "service", "objective", "membership"];
 
-/// What follows the list of commands in the help.
+/// Text below the list of commands in the help of the program.
 const EXIT_CODES: &str = "Exit codes:
   0  done
   1  refused, or a check found problems
@@ -16,7 +16,7 @@
   3  the entry cannot be reached or cannot answer now
   4  the answer was lost; for a change, repeat with the same --change-id";
 
-/// The whole command line.
+/// Builds the definition of the program with all its commands.
 pub fn command() -> Command {
     Command::new("yuccatack")
         .about("Schedules multi-accelerator jobs and routes requests under organisation guarantees")
--- a/crates/yuccatack_cli/src/client.rs
+++ b/crates/yuccatack_cli/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to an entry.
+//! HTTP client of an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,45 +15,46 @@
 use tokio::time;
 
 use crate::CliError;
-use crate::message::{ChangeAnswer, ChangeRequest, ChangeStatus, RecordList, StoredRecord};
+use crate::message::{ChangeRequest, ChangeResponse, ChangeStatus, RecordList, StoredRecord};
 
-/// The largest response that is read; a list of 10,000 records of 2 KB fits.
+/// Maximum size of a response body. A list of 10,000 records of 2 KB each fits.
 const RESPONSE_LIMIT_BYTES: usize = 64 * 1024 * 1024;
 
-/// Resends of a change whose answer was lost. They are safe: the change id makes them one change.
+/// Maximum number of times that a change without a response is resent. Resending is safe, because
+/// the system applies a change id only once.
 const CHANGE_RESEND_COUNT: u32 = 3;
 
-/// The pause before the first resend; each further one is twice as long.
-const RESEND_PAUSE: Duration = Duration::from_millis(250);
+/// Delay before the first resend of a change; it doubles with each further one.
+const INITIAL_RESEND_DELAY: Duration = Duration::from_millis(250);
 
-/// Calls one entry.
+/// HTTP client of one entry that opens a connection for each request.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryClient {
     address: SocketAddr,
     timeout: Duration,
 }
 
-/// A response with its whole body.
-struct Answer {
+/// HTTP response with its complete body.
+struct EntryResponse {
     status: StatusCode,
     body: Bytes,
 }
 
-/// The body of a response that refuses the call itself.
+/// Body of an error response to a request that the entry did not process.
 #[derive(Debug, Deserialize)]
-struct CallProblem {
+struct ErrorBody {
     kind: String,
     message: String,
 }
 
-/// The kind by which an entry tells that it sent nothing on, for example without a leader.
+/// Error kind of an entry that forwarded nothing, for example because no leader is known.
 const NOT_SENT_KIND: &str = "not_sent";
 
-/// Where an exchange failed.
+/// Failure of an exchange, by its effect on the request.
 enum ExchangeError {
-    /// No connection was made, so nothing was sent.
+    /// The request was not sent, or the entry did not forward it; it has no effect.
     NotSent(String),
-    /// Something may have been sent.
+    /// The request may have been sent and may have taken effect.
     Lost(String),
 }
 
@@ -62,38 +63,38 @@
         Self { address, timeout }
     }
 
-    /// Sends a change until it is answered or the resends are used up.
-    pub(crate) async fn submit(&self, change: &ChangeRequest) -> Result<ChangeAnswer, CliError> {
+    /// Sends a change, and resends it until a response arrives or the resends are used up.
+    pub(crate) async fn submit(&self, change: &ChangeRequest) -> Result<ChangeResponse, CliError> {
         let body = Bytes::from(serde_json::to_vec(change)?);
-        let mut pause = RESEND_PAUSE;
+        let mut delay = INITIAL_RESEND_DELAY;
         let mut lost = None;
         let mut failure = String::new();
         for attempt in 0..=CHANGE_RESEND_COUNT {
             match self.submit_once(body.clone()).await {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(ExchangeError::NotSent(reason)) => failure = reason,
                 Err(ExchangeError::Lost(reason)) => lost = Some(reason),
             }
             if attempt < CHANGE_RESEND_COUNT {
-                time::sleep(pause).await;
-                pause *= 2;
+                time::sleep(delay).await;
+                delay *= 2;
             }
         }
-        // One lost answer is enough for doubt, whatever became of the resends.
+        // After one lost response the change may have taken effect, even if no resend was sent.
         match lost {
             Some(reason) => {
-                Err(CliError::AnswerLost { change_id: change.change_id.clone(), reason })
+                Err(CliError::ResponseLost { change_id: change.change_id.clone(), reason })
             }
-            None => Err(self.not_reachable(failure)),
+            None => Err(self.not_reachable_error(failure)),
         }
     }
 
-    async fn submit_once(&self, body: Bytes) -> Result<ChangeAnswer, ExchangeError> {
-        let answer = self.exchange(Method::POST, "/v1/changes", body).await?;
-        read_change_answer(&answer)
+    async fn submit_once(&self, body: Bytes) -> Result<ChangeResponse, ExchangeError> {
+        let response = self.exchange(Method::POST, "/v1/changes", body).await?;
+        parse_change_response(&response)
     }
 
-    /// What is known about a change.
+    /// Returns the status of a change; `known` is false if the entry has no information about it.
     pub(crate) async fn change_status(&self, change_id: &str) -> Result<ChangeStatus, CliError> {
         let path = format!("/v1/changes/{}", encode_segment(change_id));
         match self.read(&path).await? {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// One record, or `None` if it is not in force.
+    /// Returns a record, or `None` if it is not in force.
     pub(crate) async fn record(
         &self,
         kind: &str,
@@ -117,38 +118,40 @@
         self.read(&path).await
     }
 
-    /// All records of a kind.
+    /// Returns all records of a kind.
     pub(crate) async fn records(&self, kind: &str) -> Result<RecordList, CliError> {
         let path = format!("/v1/records/{}", encode_segment(kind));
         Ok(self.read(&path).await?.unwrap_or(RecordList { records: Vec::new() }))
     }
 
-    /// A document of the entry, or `None` if it has none at `path`.
+    /// Reads the document at `path`, or returns `None` if the entry responds with status 404.
     pub(crate) async fn read<Document>(&self, path: &str) -> Result<Option<Document>, CliError>
     where
         Document: DeserializeOwned,
     {
-        let answer = match self.exchange(Method::GET, path, Bytes::new()).await {
-            Ok(answer) => answer,
-            Err(ExchangeError::NotSent(reason)) => return Err(self.not_reachable(reason)),
+        let response = match self.exchange(Method::GET, path, Bytes::new()).await {
+            Ok(response) => response,
+            Err(ExchangeError::NotSent(reason)) => return Err(self.not_reachable_error(reason)),
             Err(ExchangeError::Lost(reason)) => {
-                return Err(CliError::NoAnswer { address: self.address, reason });
+                return Err(CliError::UnusableResponse { address: self.address, reason });
             }
         };
-        if answer.status == StatusCode::NOT_FOUND {
+        if response.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let status = answer.status.as_u16();
-        if answer.status.is_server_error() {
-            let (address, reason) = (self.address, answer.text());
+        let status = response.status.as_u16();
+        if response.status.is_server_error() {
+            let (address, reason) = (self.address, response.text());
             return Err(CliError::Unavailable { address, status, reason });
         }
-        if !answer.status.is_success() {
-            return Err(CliError::RefusedRead { status, reason: answer.text() });
+        if !response.status.is_success() {
+            return Err(CliError::ReadRefused { status, reason: response.text() });
         }
-        serde_json::from_slice(&answer.body).map(Some).map_err(|error| CliError::NoAnswer {
-            address: self.address,
-            reason: format!("the response to {path} is not understood: {error}"),
+        serde_json::from_slice(&response.body).map(Some).map_err(|error| {
+            CliError::UnusableResponse {
+                address: self.address,
+                reason: format!("cannot parse the response to {path}: {error}"),
+            }
         })
     }
 
@@ -157,17 +160,17 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, ExchangeError> {
+    ) -> Result<EntryResponse, ExchangeError> {
         let connecting = time::timeout(self.timeout, TcpStream::connect(self.address));
         let stream = match connecting.await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(ExchangeError::NotSent(error.to_string())),
-            Err(_) => return Err(ExchangeError::NotSent(self.timed_out())),
+            Err(_) => return Err(ExchangeError::NotSent(self.timeout_message())),
         };
         match time::timeout(self.timeout, self.send(stream, method, path, body)).await {
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(reason)) => Err(ExchangeError::Lost(reason)),
-            Err(_) => Err(ExchangeError::Lost(self.timed_out())),
+            Err(_) => Err(ExchangeError::Lost(self.timeout_message())),
         }
     }
 
@@ -177,10 +180,11 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, String> {
+    ) -> Result<EntryResponse, String> {
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|error| error.to_string())?;
-        // The connection ends with the sender; its errors also reach the pending request.
+        // The connection task ends when the sender is dropped. The pending request also returns the
+        // errors of the connection, so the result of the task is not needed.
         tokio::spawn(connection);
         let request = Request::builder()
             .method(method)
@@ -193,50 +197,50 @@
         let status = response.status();
         let body = Limited::new(response.into_body(), RESPONSE_LIMIT_BYTES);
         let body = body.collect().await.map_err(|error| error.to_string())?.to_bytes();
-        Ok(Answer { status, body })
+        Ok(EntryResponse { status, body })
     }
 
-    fn not_reachable(&self, reason: String) -> CliError {
+    fn not_reachable_error(&self, reason: String) -> CliError {
         CliError::NotReachable { address: self.address, reason }
     }
 
-    fn timed_out(&self) -> String {
+    fn timeout_message(&self) -> String {
         format!("no response within {} s", self.timeout.as_secs())
     }
 }
 
-impl Answer {
-    fn problem(&self) -> Option<CallProblem> {
+impl EntryResponse {
+    fn error_body(&self) -> Option<ErrorBody> {
         serde_json::from_slice(&self.body).ok()
     }
 
-    /// What the entry says, for people.
+    /// Returns the message of the error body, or else the body as text.
     fn text(&self) -> String {
-        match self.problem() {
-            Some(problem) => problem.message,
+        match self.error_body() {
+            Some(error_body) => error_body.message,
             None => String::from_utf8_lossy(&self.body).trim().to_owned(),
         }
     }
 }
 
-/// Reads the response to a change; a 4xx that is no such response is a refusal all the same.
-fn read_change_answer(answer: &Answer) -> Result<ChangeAnswer, ExchangeError> {
-    if let Ok(answer) = serde_json::from_slice(&answer.body) {
-        return Ok(answer);
+/// Parses the response to a change. A status 4xx with any other body also counts as a refusal.
+fn parse_change_response(response: &EntryResponse) -> Result<ChangeResponse, ExchangeError> {
+    if let Ok(response) = serde_json::from_slice(&response.body) {
+        return Ok(response);
     }
-    let status = answer.status.as_u16();
-    let problem = answer.problem();
-    if problem.as_ref().is_some_and(|problem| problem.kind == NOT_SENT_KIND) {
-        return Err(ExchangeError::NotSent(answer.text()));
+    let status = response.status.as_u16();
+    let error_body = response.error_body();
+    if error_body.as_ref().is_some_and(|error_body| error_body.kind == NOT_SENT_KIND) {
+        return Err(ExchangeError::NotSent(response.text()));
     }
-    if !answer.status.is_client_error() {
-        return Err(ExchangeError::Lost(format!("HTTP status {status}: {}", answer.text())));
+    if !response.status.is_client_error() {
+        return Err(ExchangeError::Lost(format!("HTTP status {status}: {}", response.text())));
     }
-    let kind = problem.map_or_else(|| format!("http_{status}"), |problem| problem.kind);
-    Ok(ChangeAnswer::Refused { kind, message: answer.text(), current_generation: None })
+    let kind = error_body.map_or_else(|| format!("http_{status}"), |error_body| error_body.kind);
+    Ok(ChangeResponse::Refused { kind, message: response.text(), current_generation: None })
 }
 
-/// Escapes everything in a path segment that is not plain.
+/// Percent-encodes a path segment: all bytes except the unreserved characters of RFC 3986.
 pub(crate) fn encode_segment(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/yuccatack_cli/src/commands/apply.rs
+++ b/crates/yuccatack_cli/src/commands/apply.rs
@@ -1,11 +1,11 @@
-//! `apply`: submits or changes the records of files.
+//! `apply`: submits or changes the records in files.
 
 use std::path::PathBuf;
 
 use clap::ArgMatches;
 
-use super::change::{self, ChangeOptions, ChangeReport, WantedChange};
-use super::{client, options, wants_json};
+use super::change::{self, ChangeOptions, ChangeReport, RequestedChange};
+use super::{client, invalid_options, wants_json};
 use crate::context::Context;
 use crate::documents::{self, Document};
 use crate::error::{CliError, ExitStatus};
@@ -16,28 +16,28 @@
     context: &mut Context<'_>,
 ) -> Result<ExitStatus, CliError> {
     let change_options = ChangeOptions::from_matches(matches);
-    let wanted = read_wanted(matches)?;
-    let one_change =
+    let requested_changes = read_changes(matches)?;
+    let has_single_change_option =
         change_options.change_id.is_some() || change_options.replaces_generation.is_some();
-    if one_change && wanted.len() != 1 {
-        return options(format!(
+    if has_single_change_option && requested_changes.len() != 1 {
+        return invalid_options(format!(
             "`--change-id` and `--replaces-generation` go with one record, not {}; apply the \
              records one by one",
-            wanted.len()
+            requested_changes.len()
         ));
     }
     let client = client(matches, context)?;
     let mut reports: Vec<ChangeReport> = Vec::new();
     let mut failure = None;
-    for wanted in wanted {
-        match change::make(&client, wanted, &change_options, context).await {
+    for requested in requested_changes {
+        match change::execute(&client, requested, &change_options, context).await {
             Ok(report) => reports.push(report),
             Err(error) => {
                 failure = Some(error);
                 break;
             }
         }
-        // Later records may build on a refused one, for example a job on its organisation.
+        // Later records may depend on a refused one, for example a job on its organisation.
         if reports.last().is_some_and(|report| report.exit_status() != ExitStatus::Done) {
             break;
         }
@@ -49,18 +49,19 @@
     }
 }
 
-/// Reads every document before the first one is sent, so that a wrong file changes nothing.
-fn read_wanted(matches: &ArgMatches) -> Result<Vec<WantedChange>, CliError> {
-    let mut wanted = Vec::new();
+/// Reads the changes of all files. The caller sends none before all are read, so that an invalid
+/// file changes nothing.
+fn read_changes(matches: &ArgMatches) -> Result<Vec<RequestedChange>, CliError> {
+    let mut changes = Vec::new();
     for file in matches.get_many::<PathBuf>("file").into_iter().flatten() {
         for document in documents::read(file)? {
-            wanted.push(wanted_change(document)?);
+            changes.push(requested_change(document)?);
         }
     }
-    Ok(wanted)
+    Ok(changes)
 }
 
-fn wanted_change(document: Document) -> Result<WantedChange, CliError> {
+fn requested_change(document: Document) -> Result<RequestedChange, CliError> {
     let (kind, name) = (document.text("kind"), document.text("name"));
     let (Some(kind), Some(name)) = (kind, name) else {
         let problem = format!(
@@ -70,7 +71,7 @@
         return Err(CliError::InvalidFile { path: document.file, problem });
     };
     let (kind, name) = (kind.to_owned(), name.to_owned());
-    Ok(WantedChange { kind, name, document: document.content, withdraws: false })
+    Ok(RequestedChange { kind, name, document: document.content, withdraws: false })
 }
 
 fn show(
--- a/crates/yuccatack_cli/src/commands/change.rs
+++ b/crates/yuccatack_cli/src/commands/change.rs
@@ -1,4 +1,4 @@
-//! What `apply` and `withdraw` share: one change from its sending to its coming into force.
+//! Sends one change for `apply` or `withdraw` and waits until it is in force.
 
 use std::time::{Duration, Instant};
 
@@ -11,35 +11,36 @@
 use crate::client::EntryClient;
 use crate::context::Context;
 use crate::error::{CliError, ExitStatus};
-use crate::message::{ChangeAnswer, ChangeRequest, Operation};
+use crate::message::{ChangeRequest, ChangeResponse, Operation};
 
-/// How often `--wait` asks; a change is in force everywhere within 3 s.
-const WAIT_POLL: Duration = Duration::from_millis(200);
+/// Interval at which `--wait` polls the change status; a change is in force everywhere within 3 s.
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How a change is sent and how long its effect is waited for.
+/// Options of the commands that send changes.
 pub(super) struct ChangeOptions {
     pub(super) change_id: Option<String>,
     pub(super) replaces_generation: Option<u64>,
+    /// Maximum time to wait until the change is in force; `None` without `--wait`.
     wait_limit: Option<Duration>,
 }
 
-/// The change that a document or a command asks for.
-pub(super) struct WantedChange {
+/// Change of one record, before its operation and generation are known.
+pub(super) struct RequestedChange {
     pub(super) kind: String,
     pub(super) name: String,
     pub(super) document: Value,
     pub(super) withdraws: bool,
 }
 
-/// What became of one change.
+/// Result of one change, as printed.
 #[derive(Debug, Serialize)]
 pub(super) struct ChangeReport {
     pub(super) change_id: String,
     pub(super) kind: String,
     pub(super) name: String,
     #[serde(flatten)]
-    pub(super) answer: ChangeAnswer,
-    /// `None` when it was not waited for.
+    pub(super) answer: ChangeResponse,
+    /// `None` if the command did not wait for it.
     pub(super) in_force_everywhere: Option<bool>,
     pub(super) missing_nodes: Vec<String>,
 }
@@ -55,45 +56,47 @@
     }
 }
 
-/// Makes one change and waits for it as the options say.
-pub(super) async fn make(
+/// Sends one change and, if the options request it, waits until it is in force everywhere.
+pub(super) async fn execute(
     client: &EntryClient,
-    wanted: WantedChange,
+    requested: RequestedChange,
     options: &ChangeOptions,
     context: &mut Context<'_>,
 ) -> Result<ChangeReport, CliError> {
     let change_id = options.change_id.clone().unwrap_or_else(random_change_id);
-    // Printed before anything is sent, so that it is known even if this process is killed.
-    context.message(&format!("{} {}: change id {change_id}", wanted.kind, wanted.name))?;
-    let request = request(client, &wanted, options, &change_id).await?;
-    let answer = match known_answer(client, options).await? {
+    // Printed before the change is sent, so that the operator knows the id even if this process is
+    // killed.
+    context.message(&format!("{} {}: change id {change_id}", requested.kind, requested.name))?;
+    let request = build_request(client, &requested, options, &change_id).await?;
+    let answer = match previous_response(client, options).await? {
         Some(first) => resend(client, first, request).await?,
         None => client.submit(&request).await?,
     };
-    let (kind, name) = (wanted.kind, wanted.name);
+    let (kind, name) = (requested.kind, requested.name);
     let (in_force_everywhere, missing_nodes) = (None, Vec::new());
     let mut report =
         ChangeReport { change_id, kind, name, answer, in_force_everywhere, missing_nodes };
-    if let (Some(limit), ChangeAnswer::Accepted { .. }) = (options.wait_limit, &report.answer) {
-        wait(client, limit, &mut report).await?;
+    if let (Some(limit), ChangeResponse::Accepted { .. }) = (options.wait_limit, &report.answer) {
+        wait_until_in_force(client, limit, &mut report).await?;
     }
     Ok(report)
 }
 
-/// The kind of refusal for a change id that belongs to other content.
+/// Refusal kind for a change id that was already used with other content.
 const CHANGE_ID_REUSED: &str = "change_id_reused";
 
-/// Sends a change again under an id that is known already.
+/// Resends a change whose id the system already knows.
 ///
-/// The control leader compares the content with that of the first sending. A request built from the
-/// record now in force differs from it once the change has taken effect, so the forms that the
-/// first sending may have had are tried; one with other content is refused and changes nothing.
+/// The control leader compares the request with the first one of this id. Once the change has taken
+/// effect, a request built from the record in force differs from the first one, so this function
+/// tries each form that the first request may have had. A request with other content is refused and
+/// changes nothing.
 async fn resend(
     client: &EntryClient,
-    first: ChangeAnswer,
+    first: ChangeResponse,
     mut request: ChangeRequest,
-) -> Result<ChangeAnswer, CliError> {
-    if let ChangeAnswer::Accepted { generation, .. } = first {
+) -> Result<ChangeResponse, CliError> {
+    if let ChangeResponse::Accepted { generation, .. } = first {
         request.replaces_generation = generation.saturating_sub(1);
     }
     let operations: &[Operation] = match request.operation {
@@ -104,40 +107,40 @@
     for operation in operations {
         request.operation = *operation;
         match client.submit(&request).await? {
-            ChangeAnswer::Refused { kind, message, current_generation }
+            ChangeResponse::Refused { kind, message, current_generation }
                 if kind == CHANGE_ID_REUSED =>
             {
-                refusal = Some(ChangeAnswer::Refused { kind, message, current_generation });
+                refusal = Some(ChangeResponse::Refused { kind, message, current_generation });
             }
-            answer => return Ok(answer),
+            response => return Ok(response),
         }
     }
     Ok(match (first, refusal) {
-        // The first sending was refused and changed nothing; the generation that it named is not
-        // known here, so it cannot be told from other content.
-        (first @ ChangeAnswer::Refused { .. }, _) => first,
+        // The first request was refused and changed nothing. The generation that it replaced is
+        // unknown here, so a mismatch does not prove that the content differs.
+        (first @ ChangeResponse::Refused { .. }, _) => first,
         (_, Some(refusal)) => refusal,
         (first, None) => first,
     })
 }
 
-/// The answer that a resent change got before.
-async fn known_answer(
+/// Returns the response that the change with the id in the options got before, if there is one.
+async fn previous_response(
     client: &EntryClient,
     options: &ChangeOptions,
-) -> Result<Option<ChangeAnswer>, CliError> {
+) -> Result<Option<ChangeResponse>, CliError> {
     let Some(change_id) = &options.change_id else { return Ok(None) };
     Ok(client.change_status(change_id).await?.answer)
 }
 
-async fn request(
+async fn build_request(
     client: &EntryClient,
-    wanted: &WantedChange,
+    requested: &RequestedChange,
     options: &ChangeOptions,
     change_id: &str,
 ) -> Result<ChangeRequest, CliError> {
-    let current = client.record(&wanted.kind, &wanted.name).await?;
-    let operation = match (&current, wanted.withdraws) {
+    let current = client.record(&requested.kind, &requested.name).await?;
+    let operation = match (&current, requested.withdraws) {
         (_, true) => Operation::Withdraw,
         (Some(_), false) => Operation::Change,
         (None, false) => Operation::Submit,
@@ -147,11 +150,11 @@
         change_id: change_id.to_owned(),
         operation,
         replaces_generation: options.replaces_generation.unwrap_or(in_force),
-        record: wanted.document.clone(),
+        record: requested.document.clone(),
     })
 }
 
-async fn wait(
+async fn wait_until_in_force(
     client: &EntryClient,
     limit: Duration,
     report: &mut ChangeReport,
@@ -164,7 +167,7 @@
         if status.in_force_everywhere || !status.known || started.elapsed() >= limit {
             return Ok(());
         }
-        time::sleep(WAIT_POLL).await;
+        time::sleep(WAIT_POLL_INTERVAL).await;
     }
 }
 
@@ -173,13 +176,13 @@
 }
 
 impl ChangeReport {
-    /// The row of a table with the headings of [`Self::HEADINGS`].
+    /// Returns the table cells below [`Self::HEADINGS`].
     pub(super) fn row(&self) -> Vec<String> {
         let (outcome, generation, detail) = match &self.answer {
-            ChangeAnswer::Accepted { generation, .. } => {
-                ("accepted", generation.to_string(), self.in_force())
+            ChangeResponse::Accepted { generation, .. } => {
+                ("accepted", generation.to_string(), self.in_force_text())
             }
-            ChangeAnswer::Refused { kind, message, current_generation } => {
+            ChangeResponse::Refused { kind, message, current_generation } => {
                 let generation = current_generation.map_or("-".to_owned(), |g| g.to_string());
                 ("refused", generation, format!("{kind}: {message}"))
             }
@@ -187,11 +190,11 @@
         vec![self.kind.clone(), self.name.clone(), outcome.to_owned(), generation, detail]
     }
 
-    /// The headings of [`Self::row`].
+    /// Table headings of the cells of [`Self::row`].
     pub(super) const HEADINGS: [&'static str; 5] =
         ["kind", "name", "outcome", "generation", "detail"];
 
-    fn in_force(&self) -> String {
+    fn in_force_text(&self) -> String {
         match self.in_force_everywhere {
             None => "not waited for".to_owned(),
             Some(true) => "in force everywhere".to_owned(),
@@ -200,11 +203,11 @@
         }
     }
 
-    /// A change that was refused, or not in force within the wait, ends with code 1.
+    /// Returns `Refused` if the change was refused or not in force within the wait limit.
     pub(super) fn exit_status(&self) -> ExitStatus {
         match (&self.answer, self.in_force_everywhere) {
-            (ChangeAnswer::Refused { .. }, _) | (_, Some(false)) => ExitStatus::Refused,
-            (ChangeAnswer::Accepted { .. }, None | Some(true)) => ExitStatus::Done,
+            (ChangeResponse::Refused { .. }, _) | (_, Some(false)) => ExitStatus::Refused,
+            (ChangeResponse::Accepted { .. }, None | Some(true)) => ExitStatus::Done,
         }
     }
 }
--- a/crates/yuccatack_cli/src/commands/check.rs
+++ b/crates/yuccatack_cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: names every problem of settings and record files.
+//! `check`: lists every problem of settings and record files.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -12,11 +12,12 @@
 use crate::error::{CliError, ExitStatus};
 use crate::record_check::check_record;
 
-/// One problem of a file.
+/// Problem of a file, as printed.
 #[derive(Debug, Serialize)]
 struct FileProblem {
     file: PathBuf,
-    /// The position of the document in the file, from 1; `None` for settings.
+    /// Position of the document in the file, from 1; `None` for settings and for files that are
+    /// not valid YAML or JSON.
     document: Option<usize>,
     message: String,
 }
@@ -41,7 +42,7 @@
 fn check_file(file: &Path) -> Result<Vec<FileProblem>, CliError> {
     let documents = match documents::read(file) {
         Ok(documents) => documents,
-        // A file that is there but no YAML is what this command looks for.
+        // A readable file with invalid content is a result of the check, not an error.
         Err(CliError::InvalidFile { path, problem }) => {
             return Ok(vec![FileProblem { file: path, document: None, message: problem }]);
         }
@@ -66,7 +67,10 @@
     let messages = if document.is_record() {
         check_record(&document.content)
     } else {
-        vec!["settings stand among records; give them a file of their own".to_owned()]
+        vec![
+            "settings cannot share a file with records; move them to a file of their own"
+                .to_owned(),
+        ]
     };
     let problem = |message| FileProblem {
         file: document.file.clone(),
--- a/crates/yuccatack_cli/src/commands/explain.rs
+++ b/crates/yuccatack_cli/src/commands/explain.rs
@@ -1,9 +1,9 @@
-//! `explain`: explains why something is as it is.
+//! `explain`: explains the scheduling state of a job.
 
 use clap::ArgMatches;
 use serde_json::Value;
 
-use super::{client, options, required, wants_json};
+use super::{client, invalid_options, required, wants_json};
 use crate::context::Context;
 use crate::error::{CliError, ExitStatus};
 use crate::output;
@@ -14,7 +14,7 @@
 ) -> Result<ExitStatus, CliError> {
     match matches.subcommand() {
         Some(("job", matches)) => explain_job(matches, context).await,
-        _ => options("nothing to explain; see `yuccatack explain --help`".to_owned()),
+        _ => invalid_options("no subject to explain; see `yuccatack explain --help`".to_owned()),
     }
 }
 
--- a/crates/yuccatack_cli/src/commands/get.rs
+++ b/crates/yuccatack_cli/src/commands/get.rs
@@ -1,4 +1,4 @@
-//! `get`: shows records as they were written.
+//! `get`: shows one record or lists the records of a kind.
 
 use clap::ArgMatches;
 
@@ -38,7 +38,7 @@
     }
     let (generation, revision) = (record.generation, record.revision);
     context.message(&format!("{kind} {name}: generation {generation}, revision {revision}"))?;
-    // YAML, so that the output can be edited and applied again.
+    // YAML, so that the output can be edited and passed to `apply`.
     context.result(&yaml(&record.record)?)?;
     Ok(ExitStatus::Done)
 }
@@ -71,7 +71,7 @@
 }
 
 fn yaml(record: &serde_json::Value) -> Result<String, CliError> {
-    serde_yaml_ng::to_string(record).map_err(|error| CliError::Options {
+    serde_yaml_ng::to_string(record).map_err(|error| CliError::InvalidOptions {
         problem: format!("the record cannot be written as YAML: {error}; use `--output json`"),
     })
 }
--- a/crates/yuccatack_cli/src/commands/host.rs
+++ b/crates/yuccatack_cli/src/commands/host.rs
@@ -1,4 +1,4 @@
-//! `host`: runs a role on the hosting platform.
+//! `host`: runs a role with settings from the hosting platform.
 
 use clap::ArgMatches;
 use yuccatack_platform::Role;
--- a/crates/yuccatack_cli/src/commands/mod.rs
+++ b/crates/yuccatack_cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! Commands of the program, one module for each.
 
 mod apply;
 mod change;
@@ -23,7 +23,7 @@
 use crate::context::Context;
 use crate::error::{CliError, ExitStatus};
 
-/// Runs the command that the arguments name.
+/// Runs the command that the arguments select.
 pub(crate) fn dispatch(
     matches: &ArgMatches,
     context: &mut Context<'_>,
@@ -39,8 +39,10 @@
         Some(("explain", matches)) => block_on(explain::run(matches, context))?,
         Some(("report", matches)) => block_on(report::run(matches, context))?,
         Some(("completions", matches)) => completions::run(matches, context),
-        Some((other, _)) => options(format!("`{other}` is not a command; see `yuccatack --help`")),
-        None => options("no command; see `yuccatack --help`".to_owned()),
+        Some((other, _)) => {
+            invalid_options(format!("`{other}` is not a command; see `yuccatack --help`"))
+        }
+        None => invalid_options("no command; see `yuccatack --help`".to_owned()),
     }
 }
 
@@ -52,14 +54,14 @@
     Ok(runtime.block_on(command))
 }
 
-fn options<Output>(problem: String) -> Result<Output, CliError> {
-    Err(CliError::Options { problem })
+fn invalid_options<Output>(problem: String) -> Result<Output, CliError> {
+    Err(CliError::InvalidOptions { problem })
 }
 
-/// A client for the entry that the arguments or the environment name.
+/// Creates a client of the entry at the address from the arguments or the environment.
 fn client(matches: &ArgMatches, context: &Context<'_>) -> Result<EntryClient, CliError> {
-    let given = text(matches, "address").or(context.default_address.as_deref());
-    client_at(given.ok_or(CliError::NoAddress)?, matches)
+    let address = text(matches, "address").or(context.default_address.as_deref());
+    client_at(address.ok_or(CliError::NoAddress)?, matches)
 }
 
 fn client_at(address: &str, matches: &ArgMatches) -> Result<EntryClient, CliError> {
@@ -76,11 +78,11 @@
     matches.get_one::<String>(name).map(String::as_str)
 }
 
-/// An argument that the parser has made sure of.
+/// Returns an argument that the parser requires, so that it is only missing after a bug.
 fn required<'a>(matches: &'a ArgMatches, name: &str) -> Result<&'a str, CliError> {
     match text(matches, name) {
         Some(text) => Ok(text),
-        None => options(format!("`{name}` is missing; see `yuccatack --help`")),
+        None => invalid_options(format!("`{name}` is missing; see `yuccatack --help`")),
     }
 }
 
--- a/crates/yuccatack_cli/src/commands/process.rs
+++ b/crates/yuccatack_cli/src/commands/process.rs
@@ -1,17 +1,17 @@
-//! `run`: runs a process role.
+//! `run`: runs the process role that a settings file describes.
 
 use std::path::PathBuf;
 
 use clap::ArgMatches;
 use log::LevelFilter;
 
-use super::{options, text};
+use super::{invalid_options, text};
 use crate::error::{CliError, ExitStatus};
 use crate::run::{LogOptions, run_process};
 
 pub(super) fn run(matches: &ArgMatches) -> Result<ExitStatus, CliError> {
     let Some(file) = matches.get_one::<PathBuf>("file") else {
-        return options("no settings file; see `yuccatack run --help`".to_owned());
+        return invalid_options("no settings file; see `yuccatack run --help`".to_owned());
     };
     let level = match text(matches, "log-level") {
         Some("error") => LevelFilter::Error,
--- a/crates/yuccatack_cli/src/commands/report.rs
+++ b/crates/yuccatack_cli/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `report`: reports on the system.
+//! `report`: shows the burn rates of the error budgets.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use snafu::ResultExt;
 use yuccatack_telemetry::burn::{Alert, BurnReport, SeriesReport, Window, html_page};
 
-use super::{client, client_at, options, wants_json};
+use super::{client, client_at, invalid_options, wants_json};
 use crate::client::EntryClient;
 use crate::context::Context;
 use crate::error::{CliError, ExitStatus, WriteFileSnafu};
@@ -31,7 +31,7 @@
 ) -> Result<ExitStatus, CliError> {
     match matches.subcommand() {
         Some(("burn", matches)) => report_burn(matches, context).await,
-        _ => options("nothing to report; see `yuccatack report --help`".to_owned()),
+        _ => invalid_options("no report selected; see `yuccatack report --help`".to_owned()),
     }
 }
 
@@ -52,7 +52,7 @@
     Ok(ExitStatus::Done)
 }
 
-/// Reads the report of the entry, or merges those of the given processes.
+/// Reads the report of the entry, or reads and merges those of the processes in the arguments.
 async fn read_reports(matches: &ArgMatches, context: &Context<'_>) -> Result<BurnReport, CliError> {
     let addresses: Vec<&String> =
         matches.get_many("metrics-address").into_iter().flatten().collect();
@@ -67,7 +67,7 @@
 }
 
 async fn read_report(client: &EntryClient, path: &str) -> Result<BurnReport, CliError> {
-    client.read(path).await?.ok_or_else(|| CliError::RefusedRead {
+    client.read(path).await?.ok_or_else(|| CliError::ReadRefused {
         status: 404,
         reason: format!(
             "there is no burn report at {path}; give the address of an entry, or the metrics \
--- a/crates/yuccatack_cli/src/commands/status.rs
+++ b/crates/yuccatack_cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: shows the state of the system.
+//! `status`: shows replicas, nodes, workers and records not yet in force.
 
 use clap::ArgMatches;
 use serde_json::Value;
@@ -14,8 +14,8 @@
 ) -> Result<ExitStatus, CliError> {
     let status: Option<Value> = client(matches, context)?.read("/v1/status").await?;
     let Some(status) = status else {
-        let reason = "this address has no status; give the address of an entry".to_owned();
-        return Err(CliError::RefusedRead { status: 404, reason });
+        let reason = "there is no status at /v1/status; give the address of an entry".to_owned();
+        return Err(CliError::ReadRefused { status: 404, reason });
     };
     let text = if wants_json(matches) {
         serde_json::to_string_pretty(&status)?
--- a/crates/yuccatack_cli/src/commands/withdraw.rs
+++ b/crates/yuccatack_cli/src/commands/withdraw.rs
@@ -3,7 +3,7 @@
 use clap::ArgMatches;
 use serde_json::json;
 
-use super::change::{self, ChangeOptions, ChangeReport, WantedChange};
+use super::change::{self, ChangeOptions, ChangeReport, RequestedChange};
 use super::{client, required, wants_json};
 use crate::context::Context;
 use crate::error::{CliError, ExitStatus};
@@ -17,9 +17,9 @@
     let name = required(matches, "name")?.to_owned();
     let client = client(matches, context)?;
     let document = json!({ "kind": kind, "name": name });
-    let wanted = WantedChange { kind, name, document, withdraws: true };
+    let requested = RequestedChange { kind, name, document, withdraws: true };
     let options = ChangeOptions::from_matches(matches);
-    let report = change::make(&client, wanted, &options, context).await?;
+    let report = change::execute(&client, requested, &options, context).await?;
     if wants_json(matches) {
         context.result(&serde_json::to_string_pretty(&report)?)?;
     } else {
--- a/crates/yuccatack_cli/src/context.rs
+++ b/crates/yuccatack_cli/src/context.rs
@@ -1,30 +1,30 @@
-//! What a command gets from the process around it.
+//! Environment and outputs of a command.
 
 use std::io::Write;
 
 use crate::CliError;
 
-/// The environment variable that holds the address of an entry.
+/// Environment variable with the entry address to use if `--address` is absent.
 pub const ADDRESS_VARIABLE: &str = "YUCCATACK_ADDRESS";
 
-/// What a command gets from the process around it.
+/// Environment and outputs of a command, which a test can replace.
 pub struct Context<'a> {
-    /// The address of an entry when the arguments give none.
+    /// Entry address to use if the arguments contain none, usually from [`ADDRESS_VARIABLE`].
     pub default_address: Option<String>,
-    /// Where results go.
+    /// Output for results, usually standard output.
     pub results: Box<dyn Write + 'a>,
-    /// Where messages go.
+    /// Output for messages, usually standard error.
     pub messages: Box<dyn Write + 'a>,
 }
 
 impl Context<'_> {
-    /// Writes one line of results.
+    /// Writes a text to the results, with a single newline at its end.
     pub(crate) fn result(&mut self, text: &str) -> Result<(), CliError> {
         writeln!(self.results, "{}", text.trim_end())?;
         Ok(())
     }
 
-    /// Writes one line of messages.
+    /// Writes a text to the messages, with a single newline at its end.
     pub(crate) fn message(&mut self, text: &str) -> Result<(), CliError> {
         writeln!(self.messages, "{}", text.trim_end())?;
         Ok(())
--- a/crates/yuccatack_cli/src/documents.rs
+++ b/crates/yuccatack_cli/src/documents.rs
@@ -1,4 +1,4 @@
-//! Documents of settings and record files.
+//! Reads the documents of settings and record files.
 
 use std::fs;
 use std::io;
@@ -12,22 +12,22 @@
 use crate::CliError;
 use crate::error::ReadFileSnafu;
 
-/// One document of a file.
+/// Document of a settings or record file, as JSON.
 #[derive(Clone, Debug)]
 pub(crate) struct Document {
     pub(crate) file: PathBuf,
-    /// The position in the file, from 1.
+    /// Position in the file, from 1; empty documents count.
     pub(crate) number: usize,
     pub(crate) content: Value,
 }
 
-/// Reads every document of a file in YAML or JSON; JSON is a subset of YAML.
+/// Reads every document of a YAML or JSON file. JSON is a subset of YAML, so one parser reads both.
 pub(crate) fn read(path: &Path) -> Result<Vec<Document>, CliError> {
     let text = read_text(path).context(ReadFileSnafu { path })?;
     let invalid = |problem| CliError::InvalidFile { path: path.to_path_buf(), problem };
     let mut documents = Vec::new();
     for (index, document) in Deserializer::from_str(&text).enumerate() {
-        // The YAML value refuses a key that stands twice; the JSON value would take the last one.
+        // A YAML value rejects duplicate keys; a JSON value would keep only the last one.
         let content = serde_yaml_ng::Value::deserialize(document)
             .map_err(|error| invalid(format!("not valid YAML or JSON: {error}; correct it")))?;
         if content.is_null() {
@@ -40,7 +40,7 @@
         documents.push(Document { file: path.to_path_buf(), number, content });
     }
     if documents.is_empty() {
-        return Err(invalid("the file holds no document; add one or leave it out".to_owned()));
+        return Err(invalid("the file contains no document; add one or omit the file".to_owned()));
     }
     Ok(documents)
 }
@@ -50,12 +50,12 @@
 }
 
 impl Document {
-    /// Whether the document is a record and not the settings of a process.
+    /// Returns `true` if the document is a record, or `false` if it contains process settings.
     pub(crate) fn is_record(&self) -> bool {
         self.content.get("kind").is_some() || self.content.get("role").is_none()
     }
 
-    /// A text under a key, if it is there.
+    /// Returns the string at `key`, or `None` if the key is missing or has another type.
     pub(crate) fn text(&self, key: &str) -> Option<&str> {
         self.content.get(key).and_then(Value::as_str)
     }
--- a/crates/yuccatack_cli/src/error.rs
+++ b/crates/yuccatack_cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what it was asked, and its exit code.
+//! Errors of commands and their exit codes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,23 +8,24 @@
 
 use crate::run::RunError;
 
-/// The exit codes of the program.
+/// Exit status of the program.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExitStatus {
-    /// 0: the command did what it was asked.
+    /// Code 0: the command succeeded.
     Done,
-    /// 1: the system, a check or a process refused; nothing is in doubt.
+    /// Code 1: the request was refused, a check found problems or a process failed. The outcome is
+    /// certain.
     Refused,
-    /// 2: the arguments or input files are wrong; nothing was sent.
+    /// Code 2: the arguments or input files are invalid; nothing was sent.
     Usage,
-    /// 3: the entry could not be reached; nothing was sent.
+    /// Code 3: the entry is unreachable or cannot serve the request at present; no change was made.
     NotReachable,
-    /// 4: the response was lost; whether the change took effect is not known.
+    /// Code 4: the response was lost, so a change may or may not have taken effect.
     Unknown,
 }
 
 impl ExitStatus {
-    /// The exit code.
+    /// Returns the exit code, from 0 to 4.
     pub const fn code(self) -> u8 {
         match self {
             Self::Done => 0,
@@ -36,139 +37,139 @@
     }
 }
 
-/// Why a command did not do what it was asked.
+/// Error that ends a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CliError {
-    /// No address of an entry was given.
+    /// Neither the arguments nor the environment contain the address of an entry.
     #[snafu(display(
         "no address of an entry; give `--address IP:PORT` or set {}",
         crate::ADDRESS_VARIABLE
     ))]
     NoAddress,
-    /// The address is not one.
+    /// The entry address is not an IP address with a port.
     #[snafu(display("`{text}` is not an address; give `IP:PORT`, for example `10.1.0.5:7400`"))]
     InvalidAddress {
-        /// What was given.
+        /// Address as it was given.
         text: String,
     },
     /// An input file could not be read.
     #[snafu(display("cannot read {}: {source}; check the path and its permissions", path.display()))]
     ReadFile {
-        /// The file.
+        /// Path of the input file; `-` is standard input.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// An output file could not be written.
     #[snafu(display("cannot write {}: {source}; check the folder and its permissions", path.display()))]
     WriteFile {
-        /// The file.
+        /// Path of the output file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// An input file is not what the command needs.
+    /// An input file has content that the command cannot use.
     #[snafu(display("{}: {problem}", path.display()))]
     InvalidFile {
-        /// The file.
+        /// Path of the input file; `-` is standard input.
         path: PathBuf,
-        /// What is wrong and the remedy.
+        /// Description of the problem, with its remedy.
         problem: String,
     },
-    /// An option does not go with the rest.
+    /// The options of the command are incomplete or exclude each other.
     #[snafu(display("{problem}"))]
-    Options {
-        /// What is wrong and the remedy.
+    InvalidOptions {
+        /// Description of the problem, with its remedy.
         problem: String,
     },
-    /// The entry could not be reached.
+    /// The entry could not be reached, or did not forward the request.
     #[snafu(display(
         "cannot reach the entry at {address}: {reason}; check the address and that the entry runs"
     ))]
     NotReachable {
-        /// Where it was expected.
+        /// Address of the entry.
         address: SocketAddr,
-        /// What went wrong.
+        /// Failure to connect, or message of the entry.
         reason: String,
     },
-    /// The entry answered but cannot serve now.
+    /// The entry responded with a status of 500 or above to a read.
     #[snafu(display("the entry at {address} cannot answer now ({status}): {reason}; try again"))]
     Unavailable {
-        /// The entry.
+        /// Address of the entry.
         address: SocketAddr,
-        /// The HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// What the entry said.
+        /// Message in the response.
         reason: String,
     },
-    /// The response to a read was lost or unreadable.
-    #[snafu(display("no usable answer from the entry at {address}: {reason}; try again"))]
-    NoAnswer {
-        /// The entry.
+    /// The response to a read was lost or could not be parsed.
+    #[snafu(display("no usable response from the entry at {address}: {reason}; try again"))]
+    UnusableResponse {
+        /// Address of the entry.
         address: SocketAddr,
-        /// What went wrong.
+        /// Failure of the connection or of the parser.
         reason: String,
     },
-    /// The response to a change was lost.
+    /// The response to a change was lost, so the change may or may not have taken effect.
     #[snafu(display(
         "the answer to change {change_id} was lost ({reason}); whether it took effect is not \
          known; repeat the command with `--change-id {change_id}` to get the first answer"
     ))]
-    AnswerLost {
-        /// The change.
+    ResponseLost {
+        /// Id of the change, with which it can be repeated safely.
         change_id: String,
-        /// What went wrong.
+        /// Failure of the connection, or HTTP status and message of the response.
         reason: String,
     },
-    /// The entry refused a read.
-    #[snafu(display("refused ({status}): {reason}"))]
-    RefusedRead {
-        /// The HTTP status.
+    /// The entry refused a read, or has no document at the path.
+    #[snafu(display("the entry refused the request with HTTP status {status}: {reason}"))]
+    ReadRefused {
+        /// HTTP status of the response.
         status: u16,
-        /// What the entry said.
+        /// Message in the response, or a remedy.
         reason: String,
     },
-    /// A process role did not start or failed.
+    /// A process of `run` did not start or failed.
     #[snafu(transparent)]
     Run {
-        /// What went wrong.
+        /// Failure of the process.
         source: RunError,
     },
-    /// A role on the hosting platform did not start or failed.
+    /// A role of `host` did not start or failed.
     #[snafu(transparent)]
     Host {
-        /// Why.
+        /// Failure of the role.
         source: yuccatack_platform::PlatformError,
     },
-    /// The output could not be written.
+    /// The results or messages could not be written.
     #[snafu(display("cannot write the output: {source}; check the disk or the reading program"))]
     #[snafu(context(false))]
     Output {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A value could not be written as JSON.
-    #[snafu(display("cannot write JSON: {source}; report this as a fault"))]
+    /// A value could not be serialized as JSON.
+    #[snafu(display("cannot serialize to JSON: {source}; report this as a bug"))]
     #[snafu(context(false))]
     Encode {
-        /// What the library said.
+        /// Error of the serializer.
         source: serde_json::Error,
     },
 }
 
 impl CliError {
-    /// The exit status that goes with the error.
+    /// Returns the exit status of a program that ends with this error.
     pub const fn exit_status(&self) -> ExitStatus {
         match self {
             Self::NoAddress
             | Self::InvalidAddress { .. }
             | Self::ReadFile { .. }
             | Self::InvalidFile { .. }
-            | Self::Options { .. } => ExitStatus::Usage,
+            | Self::InvalidOptions { .. } => ExitStatus::Usage,
             Self::NotReachable { .. } | Self::Unavailable { .. } => ExitStatus::NotReachable,
-            Self::NoAnswer { .. } | Self::AnswerLost { .. } => ExitStatus::Unknown,
-            Self::RefusedRead { .. }
+            Self::UnusableResponse { .. } | Self::ResponseLost { .. } => ExitStatus::Unknown,
+            Self::ReadRefused { .. }
             | Self::Run { .. }
             | Self::Host { .. }
             | Self::WriteFile { .. }
--- a/crates/yuccatack_cli/src/lib.rs
+++ b/crates/yuccatack_cli/src/lib.rs
@@ -1,6 +1,7 @@
-//! The command line: the process roles and the operators' commands.
+//! Command line that runs the process roles and sends operator commands to an entry.
 //!
-//! Results go to standard output, messages to standard error. [`ExitStatus`] lists the exit codes.
+//! Results are written to standard output, messages to standard error. [`ExitStatus`] lists the
+//! exit codes.
 
 mod arguments;
 mod client;
@@ -22,7 +23,7 @@
 pub use error::{CliError, ExitStatus};
 pub use run::RunError;
 
-/// Parses the arguments, runs the command and returns its exit status.
+/// Parses the arguments, runs the command and returns its exit code.
 pub fn run<I>(arguments: I) -> ExitCode
 where
     I: IntoIterator<Item = OsString>,
@@ -35,19 +36,19 @@
     ExitCode::from(execute(arguments, context).code())
 }
 
-/// Does the same with the given environment and outputs.
+/// Parses the arguments and runs the command with the environment and outputs of `context`.
 pub fn execute<I>(arguments: I, mut context: Context<'_>) -> ExitStatus
 where
     I: IntoIterator<Item = OsString>,
 {
     let matches = match command().try_get_matches_from(arguments) {
         Ok(matches) => matches,
-        Err(error) => return report_usage(&error, &mut context),
+        Err(error) => return write_usage(&error, &mut context),
     };
     let status = match commands::dispatch(&matches, &mut context) {
         Ok(status) => status,
         Err(error) => {
-            // The exit status tells the rest if the message cannot be written.
+            // If the message cannot be written, the exit status still indicates the error.
             let _ = writeln!(context.messages, "error: {error}");
             error.exit_status()
         }
@@ -58,7 +59,7 @@
     }
 }
 
-fn report_usage(error: &clap::Error, context: &mut Context<'_>) -> ExitStatus {
+fn write_usage(error: &clap::Error, context: &mut Context<'_>) -> ExitStatus {
     let text = error.render();
     let (status, written) = if error.use_stderr() {
         (ExitStatus::Usage, write!(context.messages, "{text}"))
--- a/crates/yuccatack_cli/src/message.rs
+++ b/crates/yuccatack_cli/src/message.rs
@@ -1,13 +1,13 @@
-//! What operators' commands and an entry send each other over HTTP.
+//! JSON bodies of the requests and responses between operator commands and an entry.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What a change does.
+/// Effect of a change on its record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Operation {
-    /// Brings a record that is not in force.
+    /// Creates a record that is not in force yet.
     Submit,
     /// Replaces a record that is in force.
     Change,
@@ -15,7 +15,7 @@
     Withdraw,
 }
 
-/// The body of `POST /v1/changes`.
+/// Body of `POST /v1/changes`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ChangeRequest {
     pub(crate) change_id: String,
@@ -24,11 +24,11 @@
     pub(crate) record: Value,
 }
 
-/// The response to a change.
+/// Response to a change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub(crate) enum ChangeAnswer {
-    /// The change is logged and comes into force.
+pub(crate) enum ChangeResponse {
+    /// The change is committed and comes into force.
     Accepted { generation: u64, revision: u64 },
     /// The change has no effect.
     Refused {
@@ -39,19 +39,19 @@
     },
 }
 
-/// The response of `GET /v1/changes/{id}`.
+/// Response of `GET /v1/changes/{id}`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub(crate) struct ChangeStatus {
     pub(crate) known: bool,
     #[serde(default)]
-    pub(crate) answer: Option<ChangeAnswer>,
+    pub(crate) answer: Option<ChangeResponse>,
     #[serde(default)]
     pub(crate) in_force_everywhere: bool,
     #[serde(default)]
     pub(crate) missing_nodes: Vec<String>,
 }
 
-/// A record with what the system keeps about it.
+/// Record with its version, as an entry returns it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StoredRecord {
     pub(crate) kind: String,
@@ -61,7 +61,7 @@
     pub(crate) record: Value,
 }
 
-/// The response of `GET /v1/records/{kind}`.
+/// Response of `GET /v1/records/{kind}`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RecordList {
     pub(crate) records: Vec<StoredRecord>,
--- a/crates/yuccatack_cli/src/output.rs
+++ b/crates/yuccatack_cli/src/output.rs
@@ -1,8 +1,8 @@
-//! Tables for people.
+//! Formats results as text: tables and lists of keys and values.
 
 use serde_json::{Map, Value};
 
-/// Writes rows below their headings, each column as wide as its widest cell.
+/// Formats rows as a table below upper-case headings, each column as wide as its widest cell.
 pub(crate) fn table(headings: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = headings.iter().map(|heading| heading.chars().count()).collect();
     for row in rows {
@@ -24,29 +24,33 @@
     format!("{}\n", line.join("  ").trim_end())
 }
 
-/// Writes any JSON document: plain values as `key  value` lines, lists of objects as tables.
+/// Formats a JSON document: scalar values as `key  value` lines, lists of objects as tables.
 pub(crate) fn document(document: &Value) -> String {
     let Value::Object(entries) = document else {
         return format!("{}\n", cell(document));
     };
-    let mut plain = Vec::new();
-    collect_plain("", entries, &mut plain);
-    let width = plain.iter().map(|(key, _)| key.chars().count()).max().unwrap_or(0);
+    let mut scalars = Vec::new();
+    collect_scalars("", entries, &mut scalars);
+    let width = scalars.iter().map(|(key, _)| key.chars().count()).max().unwrap_or(0);
     let mut text = String::new();
-    for (key, value) in &plain {
+    for (key, value) in &scalars {
         text.push_str(&format!("{key:<width$}  {value}\n"));
     }
     append_tables("", entries, &mut text);
     text
 }
 
-fn collect_plain(prefix: &str, entries: &Map<String, Value>, plain: &mut Vec<(String, String)>) {
+fn collect_scalars(
+    prefix: &str,
+    entries: &Map<String, Value>,
+    scalars: &mut Vec<(String, String)>,
+) {
     for (key, value) in entries {
         let path = format!("{prefix}{key}");
         match value {
-            Value::Object(inner) => collect_plain(&format!("{path}."), inner, plain),
+            Value::Object(inner) => collect_scalars(&format!("{path}."), inner, scalars),
             _ if is_table(value) => {}
-            _ => plain.push((path, cell(value))),
+            _ => scalars.push((path, cell(value))),
         }
     }
 }
@@ -91,7 +95,7 @@
     table(&headings, &rows)
 }
 
-/// One value in one cell.
+/// Formats a value as the text of one table cell; `-` stands for null and the empty list.
 fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
--- a/crates/yuccatack_cli/src/record_check.rs
+++ b/crates/yuccatack_cli/src/record_check.rs
@@ -1,10 +1,10 @@
-//! The check of one record document.
+//! Validation of a record without sending it.
 
 use serde_json::Value;
 
-/// Names every problem of a record, each with its remedy.
+/// Returns a message with a remedy for every problem of the record.
 pub(crate) fn check_record(document: &Value) -> Vec<String> {
-    // The same bytes that `apply` sends, so that what passes here is not refused for its content.
+    // Decodes the bytes that `apply` sends, so a record that passes is not refused for its content.
     match yuccatack_records::decode(document.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
         Err(problems) => problems.iter().map(ToString::to_string).collect(),
--- a/crates/yuccatack_cli/src/run.rs
+++ b/crates/yuccatack_cli/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a process role.
+//! Start and shutdown of the process that a settings file describes.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,67 +11,68 @@
 use yuccatack_settings::{Settings, SettingsError};
 use yuccatack_telemetry::{LogDestination, LoggingError, init_logging};
 
-/// How long an aborted role may take to log what it leaves unfinished.
-const ABORT_REPORT_LIMIT: Duration = Duration::from_secs(1);
+/// Time between the abort of a role and the end of the process, in which the role logs its
+/// unfinished work.
+const ABORT_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Why a process role did not start or ended with an error.
+/// Error of a process role that did not start or ended early.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// The settings are wrong.
+    /// The settings file could not be read or is invalid.
     #[snafu(transparent)]
     Settings {
-        /// What is wrong.
+        /// Problems of the settings.
         source: SettingsError,
     },
-    /// Logging could not start.
+    /// The logger could not be initialized.
     #[snafu(transparent)]
     Logging {
-        /// What went wrong.
+        /// Failure of the logger or its log file.
         source: LoggingError,
     },
-    /// The runtime could not start.
+    /// The asynchronous runtime could not be started.
     #[snafu(display("cannot start the runtime: {source}; raise the limit of threads"))]
     Runtime {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The role is not part of this build.
+    /// This build of the program does not contain the role.
     #[snafu(display("this build cannot run the role `{role}`; use a complete build"))]
     RoleMissing {
-        /// The role.
+        /// `control`, `entry` or `agent`.
         role: &'static str,
     },
-    /// The drain was cut short.
+    /// The drain limit or a second signal aborted the process before all work was finished.
     #[snafu(display(
         "the process ended with work in flight; the log names it; raise `drain_limit_ms` if it \
          needs more time"
     ))]
     DrainIncomplete,
-    /// The role failed.
+    /// The role failed while it started or ran.
     #[snafu(display("the {role} process failed: {source}"))]
     Role {
-        /// The role.
+        /// `control`, `entry` or `agent`.
         role: &'static str,
-        /// What went wrong.
+        /// Error of the role.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
 
-/// How the process logs.
+/// Log level and destination of a process.
 #[derive(Clone, Debug)]
 pub(crate) struct LogOptions {
     pub(crate) level: LevelFilter,
     pub(crate) file: Option<PathBuf>,
 }
 
-/// Runs the process that the settings file describes until it is told to stop.
+/// Runs the process that the settings file describes until a signal stops it.
 pub(crate) fn run_process(file: &Path, log: LogOptions) -> Result<(), RunError> {
     let settings = yuccatack_settings::load(file)?;
     let destination = match log.file {
         Some(path) => LogDestination::File(path),
         None => LogDestination::StandardError,
     };
-    // Dropped last, so that the log holds everything up to the end.
+    // Dropped last, so that the log contains all lines up to the end of the process.
     let _logging = init_logging(node(&settings), log.level, destination)?;
     let runtime =
         tokio::runtime::Builder::new_multi_thread().enable_all().build().context(RuntimeSnafu)?;
@@ -84,12 +85,12 @@
 
 async fn run_until_stopped(settings: Settings) -> Result<(), RunError> {
     let (trigger, shutdown) = shutdown_channel();
-    let aborting = shutdown.clone();
+    let abort_shutdown = shutdown.clone();
     tokio::spawn(handle_signals(trigger, drain_limit(&settings)));
-    log::info!(event = "process_started", role = role(&settings); "started");
+    log::info!(event = "process_started", role = role(&settings); "process started");
     tokio::select! {
         outcome = run_role(settings, shutdown.clone()) => outcome?,
-        () = abort_finished(aborting) => {}
+        () = wait_for_abort(abort_shutdown) => {}
     }
     if shutdown.phase() == ShutdownPhase::Aborting {
         log::warn!(event = "process_aborted"; "the drain limit or a second signal ended the drain");
@@ -108,17 +109,16 @@
     }
 }
 
-/// Ends a little after the abort, so that the role can log what it leaves unfinished.
-async fn abort_finished(mut shutdown: Shutdown) {
+/// Waits for an abort and the grace period after it. Never returns if no abort can come.
+async fn wait_for_abort(mut shutdown: Shutdown) {
     shutdown.wait_for(ShutdownPhase::Aborting).await;
     if shutdown.phase() != ShutdownPhase::Aborting {
-        // The trigger is gone, so that no abort can come.
+        // The trigger was dropped, so no abort can come.
         std::future::pending::<()>().await;
     }
-    tokio::time::sleep(ABORT_REPORT_LIMIT).await;
+    tokio::time::sleep(ABORT_GRACE_PERIOD).await;
 }
 
-/// Hands over to the crate of the role.
 async fn run_role(settings: Settings, shutdown: Shutdown) -> Result<(), RunError> {
     match settings {
         Settings::Control(settings) => {
@@ -133,9 +133,9 @@
     }
 }
 
-fn role_result<Failure>(role: &'static str, result: Result<(), Failure>) -> Result<(), RunError>
+fn role_result<RoleError>(role: &'static str, result: Result<(), RoleError>) -> Result<(), RunError>
 where
-    Failure: std::error::Error + Send + Sync + 'static,
+    RoleError: std::error::Error + Send + Sync + 'static,
 {
     result.map_err(|error| RunError::Role { role, source: Box::new(error) })
 }
--- a/crates/yuccatack_cli/tests/burn_report.rs
+++ b/crates/yuccatack_cli/tests/burn_report.rs
@@ -1,4 +1,4 @@
-//! Guards against a report that shows other numbers than the processes counted.
+//! Guards against a burn report whose numbers differ from the counts of the processes.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -8,8 +8,8 @@
 use support::{Entry, Reply, run};
 use yuccatack_cli::ExitStatus;
 
-/// One objective of which `good` of 1000 events in every window were good.
-fn report(good: u32) -> Value {
+/// Builds the report of one objective with `good` good events out of 1000 in every window.
+fn burn_report(good: u32) -> Value {
     let burn_rate = f64::from(1000 - good) / 1000.0 / 0.01;
     let window = |seconds: u32| {
         json!({
@@ -27,23 +27,26 @@
     })
 }
 
-fn process(path: &'static str, good: u32) -> Entry {
+fn start_process(path: &'static str, good: u32) -> Entry {
     Entry::start(move |request| match request.path == path {
-        true => Reply::Json(200, report(good)),
+        true => Reply::Json(200, burn_report(good)),
         false => Reply::Text(404, "not here"),
     })
 }
 
+/// Guards against a table that omits or misplaces a value of the report.
 #[test]
 fn entry_report_shown() {
-    let entry = process("/v1/burn", 980);
+    let entry = start_process("/v1/burn", 980);
     let outcome = entry.run(&["report", "burn"]);
     insta::assert_snapshot!(outcome.text());
 }
 
+/// Guards against burn rates and alerts that are computed before the counts of the processes are
+/// added up.
 #[test]
-fn processes_added_up() {
-    let (first, second) = (process("/burn", 1000), process("/burn", 600));
+fn process_reports_merged() {
+    let (first, second) = (start_process("/burn", 1000), start_process("/burn", 600));
     let (first, second) = (first.address.to_string(), second.address.to_string());
     let folder = tempfile::tempdir().unwrap();
     let page = folder.path().join("burn.html");
@@ -61,7 +64,7 @@
     ]);
     assert_eq!(outcome.status, ExitStatus::Done, "{}", outcome.text());
     let merged: Value = serde_json::from_str(&outcome.results).unwrap();
-    // 1600 of 2000 are good: 0.2 / 0.01 = 20, a page.
+    // 1600 of 2000 events are good: a burn rate of 0.2 / 0.01 = 20, which raises a page alert.
     let window = &merged["series"][0]["windows"][0];
     assert_eq!((window["good"].as_u64(), window["total"].as_u64()), (Some(1600), Some(2000)));
     assert!((window["burn_rate"].as_f64().unwrap() - 20.0).abs() < 1e-6);
@@ -69,17 +72,19 @@
     assert!(std::fs::read_to_string(page).unwrap().contains("<svg"));
 }
 
+/// Guards against a response 404 that is reported without the path it concerns.
 #[test]
-fn missing_report_named() {
-    let entry = process("/burn", 1000);
+fn missing_report_path_shown() {
+    let entry = start_process("/burn", 1000);
     let outcome = entry.run(&["report", "burn"]);
     assert_eq!(outcome.status, ExitStatus::Refused);
     assert!(outcome.messages.contains("no burn report at /v1/burn"), "{}", outcome.messages);
 }
 
+/// Guards against a page that could not be written but is not reported.
 #[test]
-fn unwritable_page_named() {
-    let entry = process("/v1/burn", 980);
+fn unwritable_page_path_shown() {
+    let entry = start_process("/v1/burn", 980);
     let outcome = entry.run(&["report", "burn", "--html", "none/burn.html"]);
     assert_eq!(outcome.status, ExitStatus::Refused);
     assert!(outcome.messages.contains("cannot write none/burn.html"), "{}", outcome.messages);
--- a/crates/yuccatack_cli/tests/check_files.rs
+++ b/crates/yuccatack_cli/tests/check_files.rs
@@ -1,4 +1,4 @@
-//! Guards against wrong files that pass the check, or whose problems name no place or remedy.
+//! Guards against invalid files that pass the check, and problems reported without place or remedy.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -28,7 +28,7 @@
 command: [rank, --race, '7']
 ";
 
-/// Checks one file and hides the folder of the test in the output.
+/// Checks one file and removes the temporary folder from the results, for stable snapshots.
 fn check(name: &str, text: &str, options: &[&str]) -> Outcome {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join(name);
@@ -50,8 +50,9 @@
     format!("{}{key}: {value}\n", without(text, key))
 }
 
+/// Guards against valid settings and records that the check rejects.
 #[test]
-fn right_files_pass() {
+fn valid_files_pass() {
     for text in [ENTRY, JOB, &format!("{JOB}---\n{JOB}---\n")] {
         let outcome = check("file.yaml", text, &[]);
         assert_eq!(outcome.status, ExitStatus::Done, "{}", outcome.text());
@@ -59,14 +60,16 @@
     }
 }
 
+/// Guards against a record in JSON and schema version 1 that the check rejects.
 #[test]
-fn json_records_read() {
+fn json_record_passes() {
     let text = r#"{"schema_version": 1, "kind": "job", "name": "a", "organisation": "b",
         "gpus": 4, "run_time_minutes": 9}"#;
     let outcome = check("job.json", text, &[]);
     assert_eq!(outcome.status, ExitStatus::Done, "{}", outcome.text());
 }
 
+/// Guards against an invalid file that passes, and a message that omits the place or the remedy.
 #[test]
 fn messages_name_remedy() {
     let service = "schema_version: 2\nkind: service\nname: rankings\n";
@@ -122,8 +125,9 @@
     insta::assert_snapshot!(table);
 }
 
+/// Guards against `--output json` that a program cannot parse.
 #[test]
-fn json_output_read_by_programs() {
+fn json_output_valid() {
     let outcome = check("job.yaml", &with(JOB, "tasks", "0"), &["--output", "json"]);
     let problems: Value = serde_json::from_str(&outcome.results).unwrap();
     assert_eq!(problems[0]["file"], "job.yaml");
@@ -131,8 +135,9 @@
     assert!(problems[0]["message"].as_str().unwrap().contains("`tasks` is 0"));
 }
 
+/// Guards against a missing file that is reported as a problem of its content.
 #[test]
-fn missing_file_is_usage() {
+fn missing_file_is_usage_error() {
     let outcome = run(&["check", "none.yaml"]);
     assert_eq!(outcome.status, ExitStatus::Usage);
     assert!(outcome.messages.contains("cannot read none.yaml"), "{}", outcome.messages);
--- a/crates/yuccatack_cli/tests/example_files.rs
+++ b/crates/yuccatack_cli/tests/example_files.rs
@@ -1,4 +1,5 @@
-//! Guards against examples that the program refuses or that do not fit together.
+//! Guards against example deployments that the program refuses or whose files contradict each
+//! other.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -23,18 +24,18 @@
     records: Vec<(String, Record)>,
 }
 
-fn files(deployment: &str, folder: &str) -> Vec<PathBuf> {
+fn file_paths(deployment: &str, folder: &str) -> Vec<PathBuf> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     let folder = root.join(deployment).join(folder);
-    let mut files: Vec<PathBuf> =
+    let mut paths: Vec<PathBuf> =
         std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
-    files.sort();
-    files
+    paths.sort();
+    paths
 }
 
-fn read(deployment: &str) -> Deployment {
+fn read_deployment(deployment: &str) -> Deployment {
     let (mut controls, mut entries, mut agents) = (Vec::new(), Vec::new(), Vec::new());
-    for file in files(deployment, "settings") {
+    for file in file_paths(deployment, "settings") {
         match yuccatack_settings::load(file).unwrap() {
             Settings::Control(control) => controls.push(control),
             Settings::Entry(entry) => entries.push(entry),
@@ -42,7 +43,7 @@
         }
     }
     let mut records = Vec::new();
-    for file in files(deployment, "records") {
+    for file in file_paths(deployment, "records") {
         let text = std::fs::read_to_string(file).unwrap();
         for document in serde_yaml_ng::Deserializer::from_str(&text) {
             let document = serde_json::Value::deserialize(document).unwrap().to_string();
@@ -54,14 +55,15 @@
 }
 
 fn deployments() -> [(&'static str, Deployment, usize); 2] {
-    [("timing", read("timing"), 4), ("lending", read("lending"), 3)]
+    [("timing", read_deployment("timing"), 4), ("lending", read_deployment("lending"), 3)]
 }
 
+/// Guards against example files that `check` rejects.
 #[test]
 fn check_finds_no_problem() {
     for deployment in ["timing", "lending"] {
-        let mut paths = files(deployment, "settings");
-        paths.extend(files(deployment, "records"));
+        let mut paths = file_paths(deployment, "settings");
+        paths.extend(file_paths(deployment, "records"));
         let mut arguments = vec!["check"];
         arguments.extend(paths.iter().map(|path| path.to_str().unwrap()));
         let outcome = run(&arguments);
@@ -69,8 +71,10 @@
     }
 }
 
+/// Guards against examples whose numbers of nodes, data centres, organisations, slots or
+/// connections differ from those of the deployment that they describe.
 #[test]
-fn todays_sizes() {
+fn deployment_sizes() {
     for (name, deployment, data_centre_count) in deployments() {
         assert_eq!(deployment.controls.len(), 3, "{name}");
         assert_eq!(deployment.entries.len(), data_centre_count, "{name}");
@@ -87,14 +91,15 @@
     }
 }
 
+/// Guards against two processes of a deployment with the same node name or address.
 #[test]
 fn names_and_addresses_distinct() {
     for (name, deployment, _) in deployments() {
         let mut nodes = BTreeSet::new();
         let mut addresses: BTreeSet<SocketAddr> = BTreeSet::new();
-        let mut add = |node: &NodeName, own: &[Option<SocketAddr>]| {
+        let mut add = |node: &NodeName, node_addresses: &[Option<SocketAddr>]| {
             assert!(nodes.insert(node.clone()), "{name}: {node} is used twice");
-            for address in own.iter().flatten() {
+            for address in node_addresses.iter().flatten() {
                 assert!(addresses.insert(*address), "{name}: {address} is used twice");
             }
         };
@@ -112,8 +117,9 @@
     }
 }
 
+/// Guards against settings and membership records that list different control replicas.
 #[test]
-fn replicas_agree() {
+fn replica_lists_equal() {
     for (name, deployment, _) in deployments() {
         let replicas = &deployment.controls[0].initial_replicas;
         let addresses: Vec<SocketAddr> = replicas.iter().map(|replica| replica.address).collect();
@@ -139,7 +145,7 @@
     }
 }
 
-/// Guards against records that refer to others which come later or not at all.
+/// Guards against a record that is refused because it refers to a later or missing record.
 #[test]
 fn records_accepted_in_order() {
     for (name, deployment, _) in deployments() {
@@ -160,6 +166,8 @@
     }
 }
 
+/// Guards against an agent whose service has no record, or one with other slot or connection
+/// counts.
 #[test]
 fn services_have_records() {
     for (name, deployment, _) in deployments() {
@@ -172,19 +180,19 @@
                 }
                 _ => false,
             });
-            assert!(found, "{name}: no fitting record of service {}", agent.service);
+            assert!(found, "{name}: no matching record of service {}", agent.service);
         }
     }
 }
 
-/// 11 workers spread over the data centres, three to a rack.
-fn workers(deployment: &Deployment, task_capacity: Resources) -> Cluster {
+/// Builds a cluster with one worker for each agent, in its data centre, and three workers per rack.
+fn build_cluster(deployment: &Deployment, task_capacity: Resources) -> Cluster {
     let mut cluster = Cluster::default();
     for (number, agent) in deployment.agents.iter().enumerate() {
         let data_centre = &agent.data_centre;
-        let members = cluster
-            .workers()
-            .filter(|(_, cell)| cluster.data_centre_name(cell.data_centre) == Some(data_centre));
+        let members = cluster.workers().filter(|(_, worker)| {
+            cluster.data_centre_name(worker.data_centre) == Some(data_centre)
+        });
         let rack = RackName::new(&format!("rack-{}", members.count() / 3)).unwrap();
         let name = WorkerName::new(&format!("worker-{number}")).unwrap();
         cluster.add_worker(&name, data_centre, &rack, task_capacity);
@@ -192,34 +200,34 @@
     cluster
 }
 
-/// What the workers offer without the reserve of each data centre.
-fn offered(cluster: &Cluster, reserve_worker_count: u32) -> Vec<Resources> {
-    let mut seen = vec![0; cluster.data_centre_count() as usize];
-    let offer = |(_, cell): (u32, &WorkerCapacity)| {
-        let seen = &mut seen[cell.data_centre as usize];
-        *seen += 1;
-        if *seen <= reserve_worker_count { Resources::default() } else { cell.total }
+/// Returns the capacity of each worker; it is zero for the reserve workers of each data centre.
+fn capacity_without_reserve(cluster: &Cluster, reserve_worker_count: u32) -> Vec<Resources> {
+    let mut seen_counts = vec![0; cluster.data_centre_count() as usize];
+    let available = |(_, worker): (u32, &WorkerCapacity)| {
+        let seen_count = &mut seen_counts[worker.data_centre as usize];
+        *seen_count += 1;
+        if *seen_count <= reserve_worker_count { Resources::default() } else { worker.total }
     };
-    cluster.workers().map(offer).collect()
+    cluster.workers().map(available).collect()
 }
 
-/// Guards against guarantees that the platform of the deployment cannot give together.
+/// Guards against guarantees that together exceed the capacity of the deployment's workers.
 #[test]
 fn guarantees_fit_together() {
     for (name, deployment, _) in deployments() {
-        // 32 cores and 128 GB, or 128 cores and 512 GB, from the design page.
+        // The workers have 32 cores and 128 GB, or 128 cores and 512 GB, as on the design page.
         let factor = if name == "timing" { 1 } else { 4 };
         let capacity = Resources {
             cores_milli: 32_000 * factor,
             memory_bytes: 128_000_000_000 * factor,
             accelerator_count: 8,
         };
-        let cluster = workers(&deployment, capacity);
+        let cluster = build_cluster(&deployment, capacity);
         let policy = deployment.records.iter().find_map(|(_, record)| match record {
             Record::Policy(policy) => Some(policy.reserve_worker_count),
             _ => None,
         });
-        let mut available = offered(&cluster, policy.unwrap());
+        let mut available = capacity_without_reserve(&cluster, policy.unwrap());
         let mut shapes = Vec::new();
         for (_, record) in &deployment.records {
             let Record::Guarantee(guarantee) = record else { continue };
@@ -232,8 +240,10 @@
     }
 }
 
+/// Guards against deployments with the same priorities: `timing` has to weight completion more than
+/// fragmentation, and `lending` the reverse.
 #[test]
-fn policies_differ() {
+fn policy_weights_differ() {
     let weights = |deployment: &Deployment| {
         let policy = deployment.records.iter().find_map(|(_, record)| match record {
             Record::Policy(policy) => Some(policy.clone()),
@@ -241,8 +251,8 @@
         });
         policy.map(|policy| (policy.completion_weight, policy.fragmentation_weight)).unwrap()
     };
-    let (completion, fragmentation) = weights(&read("timing"));
+    let (completion, fragmentation) = weights(&read_deployment("timing"));
     assert!(completion > fragmentation);
-    let (completion, fragmentation) = weights(&read("lending"));
+    let (completion, fragmentation) = weights(&read_deployment("lending"));
     assert!(fragmentation > completion);
 }
--- a/crates/yuccatack_cli/tests/help_text.rs
+++ b/crates/yuccatack_cli/tests/help_text.rs
@@ -1,4 +1,4 @@
-//! Guards against help that changes unnoticed; `docs/command-line.md` quotes it.
+//! Guards against unintended changes of the help texts, which `docs/command-line.md` quotes.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -24,6 +24,7 @@
     &["completions"],
 ];
 
+/// Guards against a help text that changes without a review.
 #[test]
 fn every_command() {
     let mut text = String::new();
@@ -37,7 +38,7 @@
     insta::assert_snapshot!(text);
 }
 
-/// Guards against a page that describes other options than the program has.
+/// Guards against a page whose help texts differ from those of the program.
 #[test]
 fn page_quotes_help() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/command-line.md");
@@ -52,13 +53,15 @@
     }
 }
 
+/// Guards against contradictory argument definitions, which clap detects only in this check.
 #[test]
-fn definition_is_consistent() {
+fn argument_definitions_consistent() {
     yuccatack_cli::command().debug_assert();
 }
 
+/// Guards against completion scripts that lack commands.
 #[test]
-fn completions_name_commands() {
+fn completions_contain_commands() {
     for shell in ["bash", "zsh", "fish"] {
         let outcome = run(&["completions", shell]);
         assert_eq!(outcome.status, ExitStatus::Done);
--- a/crates/yuccatack_cli/tests/operator_commands.rs
+++ b/crates/yuccatack_cli/tests/operator_commands.rs
@@ -1,4 +1,5 @@
-//! Guards against changes that are sent wrongly, sent twice as two, or reported wrongly.
+//! Guards against changes that are sent with wrong content, applied twice or reported with a wrong
+//! outcome.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -17,11 +18,11 @@
 accelerator_quota_count: 16
 ";
 
-struct Files {
+struct TestFolder {
     folder: tempfile::TempDir,
 }
 
-impl Files {
+impl TestFolder {
     fn new() -> Self {
         Self { folder: tempfile::tempdir().unwrap() }
     }
@@ -45,8 +46,8 @@
     })
 }
 
-/// Nothing is in force and every change is accepted.
-fn empty_system(request: &Received) -> Reply {
+/// Replies as an entry without records that accepts every change.
+fn reply_without_records(request: &Received) -> Reply {
     match (request.method.as_str(), request.path.as_str()) {
         ("POST", _) => accepted(1),
         ("GET", path) if path.starts_with("/v1/changes/") => {
@@ -56,10 +57,11 @@
     }
 }
 
+/// Guards against a new record that is sent as a change of an existing one.
 #[test]
 fn new_record_submitted() {
-    let (files, entry) = (Files::new(), Entry::start(empty_system));
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let (folder, entry) = (TestFolder::new(), Entry::start(reply_without_records));
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap(), "--change-id", "c-1"]);
     insta::assert_snapshot!(outcome.text(), @r"
     exit code 0
@@ -77,14 +79,15 @@
     assert_eq!(changes[0]["record"]["accelerator_quota_count"], 16);
 }
 
+/// Guards against an existing record that is submitted as new or without its generation.
 #[test]
 fn existing_record_changed() {
-    let files = Files::new();
+    let folder = TestFolder::new();
     let entry = Entry::start(|request| match request.method.as_str() {
         "POST" => accepted(8),
         _ => Reply::Json(200, stored(7)),
     });
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap()]);
     assert_eq!(outcome.status, ExitStatus::Done, "{}", outcome.text());
     let changes = entry.changes();
@@ -92,11 +95,12 @@
     assert_eq!(changes[0]["replaces_generation"], 7);
 }
 
+/// Guards against documents that share a change id, and ids that the operator cannot see.
 #[test]
 fn each_document_has_id() {
-    let (files, entry) = (Files::new(), Entry::start(empty_system));
+    let (folder, entry) = (TestFolder::new(), Entry::start(reply_without_records));
     let second = ORGANISATION.replace("selangor", "johor");
-    let path = files.write("organisations.yaml", &format!("{ORGANISATION}---\n{second}"));
+    let path = folder.write("organisations.yaml", &format!("{ORGANISATION}---\n{second}"));
     let outcome = entry.run(&["apply", path.to_str().unwrap()]);
     assert_eq!(outcome.status, ExitStatus::Done, "{}", outcome.text());
     let changes = entry.changes();
@@ -108,10 +112,11 @@
     }
 }
 
-/// Guards against later records that are sent although one that they build on was refused.
+/// Guards against records that are sent although an earlier one, on which they may depend, was
+/// refused.
 #[test]
 fn refusal_stops_apply() {
-    let files = Files::new();
+    let folder = TestFolder::new();
     let entry = Entry::start(|request| match request.method.as_str() {
         "POST" => Reply::Json(
             409,
@@ -123,7 +128,7 @@
         _ => Reply::Json(200, stored(7)),
     });
     let second = ORGANISATION.replace("selangor", "johor");
-    let path = files.write("organisations.yaml", &format!("{ORGANISATION}---\n{second}"));
+    let path = folder.write("organisations.yaml", &format!("{ORGANISATION}---\n{second}"));
     let outcome = entry.run(&["apply", path.to_str().unwrap()]);
     assert_eq!(outcome.status, ExitStatus::Refused);
     insta::assert_snapshot!(outcome.results, @r"
@@ -133,30 +138,31 @@
     assert_eq!(entry.changes().len(), 1);
 }
 
-/// Guards against a wrong later document that is found only after earlier ones were sent.
+/// Guards against an invalid document that is detected only after earlier documents were sent.
 #[test]
-fn wrong_file_sends_nothing() {
-    let (files, entry) = (Files::new(), Entry::start(empty_system));
-    let path = files.write("organisations.yaml", &format!("{ORGANISATION}---\nkind: job\n"));
+fn invalid_file_sends_nothing() {
+    let (folder, entry) = (TestFolder::new(), Entry::start(reply_without_records));
+    let path = folder.write("organisations.yaml", &format!("{ORGANISATION}---\nkind: job\n"));
     let outcome = entry.run(&["apply", path.to_str().unwrap()]);
     assert_eq!(outcome.status, ExitStatus::Usage);
     assert!(outcome.messages.contains("document 2 is not a record"), "{}", outcome.messages);
     assert_eq!(entry.received().len(), 0);
 }
 
-/// Guards against a lost answer that becomes a second change.
+/// Guards against a change that is applied twice, because it is resent under another id after its
+/// response was lost.
 #[test]
-fn lost_answer_resent_same_id() {
-    let files = Files::new();
+fn lost_response_resent_same_id() {
+    let folder = TestFolder::new();
     let mut post_count = 0;
     let entry = Entry::start(move |request| {
         if request.method != "POST" {
-            return empty_system(request);
+            return reply_without_records(request);
         }
         post_count += 1;
         if post_count == 1 { Reply::Close } else { accepted(1) }
     });
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap()]);
     assert_eq!(outcome.status, ExitStatus::Done, "{}", outcome.text());
     let changes = entry.changes();
@@ -164,14 +170,15 @@
     assert_eq!(changes[0], changes[1]);
 }
 
+/// Guards against a change without any response that is reported as refused or accepted.
 #[test]
-fn lost_answers_are_unknown() {
-    let files = Files::new();
+fn lost_responses_are_unknown() {
+    let folder = TestFolder::new();
     let entry = Entry::start(|request| match request.method.as_str() {
         "POST" => Reply::Text(504, "the control leader did not answer"),
-        _ => empty_system(request),
+        _ => reply_without_records(request),
     });
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap(), "--change-id", "c-1"]);
     assert_eq!(outcome.status, ExitStatus::Unknown);
     insta::assert_snapshot!(outcome.messages, @r"
@@ -182,28 +189,29 @@
     assert!(changes.iter().all(|change| *change == changes[0]), "{changes:?}");
 }
 
-/// Guards against doubt about a change that the entry knows it never sent on.
+/// Guards against an unknown outcome for a change that the entry reports as never forwarded.
 #[test]
 fn unsent_change_not_reachable() {
-    let files = Files::new();
+    let folder = TestFolder::new();
     let entry = Entry::start(|request| match request.method.as_str() {
         "POST" => Reply::Json(503, json!({"kind": "not_sent", "message": "no leader within 3 s"})),
-        _ => empty_system(request),
+        _ => reply_without_records(request),
     });
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap()]);
     assert_eq!(outcome.status, ExitStatus::NotReachable, "{}", outcome.text());
     assert!(outcome.messages.contains("no leader within 3 s"), "{}", outcome.messages);
 }
 
-/// Guards against a lost answer that a later, unsent resend covers up.
+/// Guards against a change that is reported as not sent although an earlier response to it was
+/// lost.
 #[test]
 fn loss_before_unsent_is_unknown() {
-    let files = Files::new();
+    let folder = TestFolder::new();
     let mut post_count = 0;
     let entry = Entry::start(move |request| {
         if request.method != "POST" {
-            return empty_system(request);
+            return reply_without_records(request);
         }
         post_count += 1;
         match post_count {
@@ -211,26 +219,28 @@
             _ => Reply::Json(503, json!({"kind": "not_sent", "message": "no leader"})),
         }
     });
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap()]);
     assert_eq!(outcome.status, ExitStatus::Unknown, "{}", outcome.text());
 }
 
+/// Guards against a status 4xx without an outcome that is not reported as a refusal.
 #[test]
-fn misunderstood_change_refused() {
-    let files = Files::new();
+fn client_error_is_refusal() {
+    let folder = TestFolder::new();
     let entry = Entry::start(|request| match request.method.as_str() {
         "POST" => Reply::Json(400, json!({"kind": "invalid_change", "message": "send change_id"})),
-        _ => empty_system(request),
+        _ => reply_without_records(request),
     });
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap()]);
     assert_eq!(outcome.status, ExitStatus::Refused);
     assert!(outcome.results.contains("invalid_change: send change_id"), "{}", outcome.results);
 }
 
-/// A control leader that knows change `c-1` as the submission of a new record.
-fn leader_knows_submission(request: &Received) -> Reply {
+/// Replies as an entry whose control leader has accepted change `c-1`, the submission of a new
+/// record.
+fn reply_after_submission(request: &Received) -> Reply {
     let first = json!({"outcome": "accepted", "generation": 1, "revision": 40});
     if request.path == "/v1/changes/c-1" {
         let status = json!({
@@ -253,35 +263,37 @@
     Reply::Json(422, refusal)
 }
 
-/// Guards against a resend that is built from the record it has itself brought into force.
+/// Guards against a repeated submission that is refused as a reuse of its own id. It would be built
+/// as a change, because the first submission has brought the record into force.
 #[test]
-fn resend_keeps_first_form() {
-    let files = Files::new();
-    let entry = Entry::start(leader_knows_submission);
-    let path = files.write("organisation.yaml", ORGANISATION);
+fn resend_matches_first_request() {
+    let folder = TestFolder::new();
+    let entry = Entry::start(reply_after_submission);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap(), "--change-id", "c-1"]);
     assert_eq!(outcome.status, ExitStatus::Done, "{}", outcome.text());
 }
 
-/// Guards against an id of another change whose first answer is shown as if this one had it.
+/// Guards against a change that reuses the id of another one and is reported with its response.
 #[test]
 fn reused_id_is_refused() {
-    let files = Files::new();
-    let entry = Entry::start(leader_knows_submission);
+    let folder = TestFolder::new();
+    let entry = Entry::start(reply_after_submission);
     let other = ORGANISATION.replace("selangor", "johor");
-    let path = files.write("organisation.yaml", &other);
+    let path = folder.write("organisation.yaml", &other);
     let outcome = entry.run(&["apply", path.to_str().unwrap(), "--change-id", "c-1"]);
     assert_eq!(outcome.status, ExitStatus::Refused, "{}", outcome.text());
     assert!(outcome.results.contains("change_id_reused"), "{}", outcome.results);
 }
 
+/// Guards against `--wait` that ends while the change is missing at a node.
 #[test]
 fn wait_until_in_force() {
-    let files = Files::new();
+    let folder = TestFolder::new();
     let mut status_count = 0;
     let entry = Entry::start(move |request| {
         if !request.path.starts_with("/v1/changes/") {
-            return empty_system(request);
+            return reply_without_records(request);
         }
         status_count += 1;
         let missing = if status_count < 3 { json!(["entry-2"]) } else { json!([]) };
@@ -291,37 +303,40 @@
             json!({"known": true, "in_force_everywhere": everywhere, "missing_nodes": missing}),
         )
     });
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap(), "--wait"]);
     assert_eq!(outcome.status, ExitStatus::Done, "{}", outcome.text());
     assert!(outcome.results.contains("in force everywhere"), "{}", outcome.results);
 }
 
+/// Guards against an expired wait that is reported as a success or without the missing nodes.
 #[test]
-fn wait_names_missing_nodes() {
-    let files = Files::new();
+fn expired_wait_lists_missing_nodes() {
+    let folder = TestFolder::new();
     let entry = Entry::start(|request| match request.path.starts_with("/v1/changes/") {
         true => Reply::Json(
             200,
             json!({"known": true, "in_force_everywhere": false, "missing_nodes": ["entry-2"]}),
         ),
-        false => empty_system(request),
+        false => reply_without_records(request),
     });
-    let path = files.write("organisation.yaml", ORGANISATION);
+    let path = folder.write("organisation.yaml", ORGANISATION);
     let outcome = entry.run(&["apply", path.to_str().unwrap(), "--wait", "--wait-limit-s", "1"]);
     assert_eq!(outcome.status, ExitStatus::Refused);
     assert!(outcome.results.contains("not yet in force at entry-2"), "{}", outcome.results);
 }
 
+/// Guards against one change id that is used for two records.
 #[test]
-fn one_id_for_one_record() {
-    let (files, entry) = (Files::new(), Entry::start(empty_system));
-    let path = files.write("organisations.yaml", &format!("{ORGANISATION}---\n{ORGANISATION}"));
+fn change_id_needs_single_record() {
+    let (folder, entry) = (TestFolder::new(), Entry::start(reply_without_records));
+    let path = folder.write("organisations.yaml", &format!("{ORGANISATION}---\n{ORGANISATION}"));
     let outcome = entry.run(&["apply", path.to_str().unwrap(), "--change-id", "c-1"]);
     assert_eq!(outcome.status, ExitStatus::Usage);
     assert_eq!(entry.received().len(), 0);
 }
 
+/// Guards against a withdrawal that does not state the generation it replaces.
 #[test]
 fn withdrawal_states_generation() {
     let entry = Entry::start(|request| match request.method.as_str() {
@@ -338,6 +353,7 @@
     assert_eq!(changes[0]["record"], json!({"kind": "organisation", "name": "selangor"}));
 }
 
+/// Guards against output of `get` that omits values or cannot be applied again.
 #[test]
 fn records_shown() {
     let entry = Entry::start(|request| match request.path.as_str() {
@@ -352,6 +368,7 @@
     insta::assert_snapshot!(format!("{}\n{}\n{}", list.text(), one.text(), none.text()));
 }
 
+/// Guards against output of `status` and `explain` that omits values of the document.
 #[test]
 fn status_and_explanation_shown() {
     let entry = Entry::start(|request| match request.path.as_str() {
@@ -383,6 +400,7 @@
     insta::assert_snapshot!(format!("{}\n{}\n{}", status.text(), explanation.text(), none.text()));
 }
 
+/// Guards against a status 503 that is reported as a refusal or without its message.
 #[test]
 fn unavailable_entry_is_not_reachable() {
     let entry = Entry::start(|_| Reply::Text(503, "no leader is known"));
--- a/crates/yuccatack_cli/tests/support/mod.rs
+++ b/crates/yuccatack_cli/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Runs commands and answers them with a scripted entry.
+//! Runs commands in process and serves their requests from a scripted entry.
 
-// Each test file uses a part of this module.
+// Each test file uses only part of this module.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use std::ffi::OsString;
@@ -12,7 +12,7 @@
 use serde_json::Value;
 use yuccatack_cli::{Context, ExitStatus, execute};
 
-/// What a command wrote and how it ended.
+/// Output and exit status of a command.
 pub struct Outcome {
     pub status: ExitStatus,
     pub results: String,
@@ -20,7 +20,7 @@
 }
 
 impl Outcome {
-    /// Everything in one text for a snapshot.
+    /// Returns the exit code, results and messages as one text for a snapshot.
     pub fn text(&self) -> String {
         let code = self.status.code();
         let (results, messages) = (&self.results, &self.messages);
@@ -28,12 +28,12 @@
     }
 }
 
-/// Runs one command.
+/// Runs a command without an address in the environment.
 pub fn run(arguments: &[&str]) -> Outcome {
     run_with_address(arguments, None)
 }
 
-/// Runs one command with the environment variable set.
+/// Runs a command with the address that the environment variable contains, if any.
 pub fn run_with_address(arguments: &[&str], default_address: Option<String>) -> Outcome {
     let arguments = std::iter::once("yuccatack").chain(arguments.iter().copied());
     let (mut results, mut messages) = (Vec::new(), Vec::new());
@@ -47,7 +47,7 @@
     Outcome { status, results: results.unwrap(), messages: messages.unwrap() }
 }
 
-/// One request that the entry received.
+/// Request that the entry received; the body is null if it is not JSON.
 #[derive(Clone, Debug)]
 pub struct Received {
     pub method: String,
@@ -55,27 +55,28 @@
     pub body: Value,
 }
 
-/// What the entry does with a request.
+/// Reaction of the entry to a request.
 pub enum Reply {
-    /// Answers with this status and body.
+    /// Responds with this status and JSON body.
     Json(u16, Value),
-    /// Answers with this status and text.
+    /// Responds with this status and text body.
     Text(u16, &'static str),
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     Close,
 }
 
-/// An entry that answers from a script.
+/// Scripted entry on a free port.
 pub struct Entry {
     pub address: SocketAddr,
     received: Receiver<Received>,
 }
 
 impl Entry {
-    /// Starts an entry that answers each request with `answer`; it ends with the test process.
-    pub fn start<Answer>(mut answer: Answer) -> Self
+    /// Starts an entry that replies to each request as `script` returns. It runs until the test
+    /// process ends.
+    pub fn start<Script>(mut script: Script) -> Self
     where
-        Answer: FnMut(&Received) -> Reply + Send + 'static,
+        Script: FnMut(&Received) -> Reply + Send + 'static,
     {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -84,8 +85,8 @@
             for stream in listener.incoming() {
                 let Ok(mut stream) = stream else { break };
                 let Some(request) = read_request(&stream) else { continue };
-                let reply = answer(&request);
-                // The test may have ended.
+                let reply = script(&request);
+                // Sending fails only if the test has already dropped the entry.
                 let _ = sender.send(request);
                 write_reply(&mut stream, reply);
             }
@@ -98,12 +99,12 @@
         run_with_address(arguments, Some(self.address.to_string()))
     }
 
-    /// The requests since the last call.
+    /// Returns the requests since the last call.
     pub fn received(&self) -> Vec<Received> {
         self.received.try_iter().collect()
     }
 
-    /// The changes since the last call.
+    /// Returns the bodies of the changes since the last call. It also discards other requests.
     pub fn changes(&self) -> Vec<Value> {
         let received = self.received().into_iter();
         received.filter(|request| request.method == "POST").map(|request| request.body).collect()
@@ -140,6 +141,6 @@
     };
     let length = body.len();
     let text = format!("HTTP/1.1 {status} x\r\ncontent-length: {length}\r\n\r\n{body}");
-    // The command may have stopped waiting.
+    // Writing fails only if the command no longer waits for the response.
     let _ = stream.write_all(text.as_bytes());
 }
--- a/crates/yuccatack_cli/tests/usage_errors.rs
+++ b/crates/yuccatack_cli/tests/usage_errors.rs
@@ -1,4 +1,4 @@
-//! Guards against usage errors without a remedy or with the exit code of a refusal.
+//! Guards against usage errors that name no remedy or end with the exit code of a refusal.
 
 #![allow(clippy::unwrap_used, missing_docs)]
 
@@ -7,6 +7,7 @@
 use support::{run, run_with_address};
 use yuccatack_cli::ExitStatus;
 
+/// Guards against invalid arguments that run a command, write results or name no remedy.
 #[test]
 fn messages_name_remedy() {
     let cases: [&[&str]; 13] = [
@@ -34,6 +35,7 @@
     insta::assert_snapshot!(text);
 }
 
+/// Guards against a refused connection that is reported as a lost response.
 #[test]
 fn closed_port_not_reachable() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -44,15 +46,17 @@
     assert!(outcome.messages.contains("check the address"), "{}", outcome.messages);
 }
 
+/// Guards against an environment variable that overrides `--address`.
 #[test]
-fn argument_beats_environment() {
+fn argument_overrides_environment() {
     let outcome =
         run_with_address(&["status", "--address", "nowhere"], Some("127.0.0.1:1".to_owned()));
     assert!(outcome.messages.contains("`nowhere`"), "{}", outcome.messages);
 }
 
+/// Guards against a process that starts with invalid settings.
 #[test]
-fn wrong_settings_not_run() {
+fn invalid_settings_not_run() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("entry.yaml");
     std::fs::write(&path, "role: entry\n").unwrap();
