--- a/crates/yuccatack_cli/src/error.rs
+++ b/crates/yuccatack_cli/src/error.rs
@@ -18,7 +18,8 @@
     Refused,
     /// Code 2: the arguments or input files are invalid; nothing was sent.
     Usage,
-    /// Code 3: the entry is unreachable or cannot serve the request at present; no change was made.
+    /// Code 3: the entry is unreachable or cannot serve requests at present; the request that failed
+    /// had no effect.
     NotReachable,
     /// Code 4: the response was lost, so a change may or may not have taken effect.
     Unknown,
