--- a/crates/yuccatack_cli/src/run.rs
+++ b/crates/yuccatack_cli/src/run.rs
@@ -87,7 +87,7 @@
     let (trigger, shutdown) = shutdown_channel();
     let abort_shutdown = shutdown.clone();
     tokio::spawn(handle_signals(trigger, drain_limit(&settings)));
-    log::info!(event = "process_started", role = role(&settings); "process started");
+    log::info!(event = "process_started", role = role(&settings); "started");
     tokio::select! {
         outcome = run_role(settings, shutdown.clone()) => outcome?,
         () = wait_for_abort(abort_shutdown) => {}
