--- a/crates/yuccatack_replication/src/committed.rs
+++ b/crates/yuccatack_replication/src/committed.rs
@@ -65,14 +65,14 @@
         /// Address of the leader, if known.
         leader_address: Option<SocketAddr>,
     },
-    /// Leadership was lost before the commit; the command may or may not be committed later.
+    /// Leadership was lost before the command was delivered; it may or may not be committed.
     Unknown,
 }
 
 /// Reason why a read failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadFailure {
-    /// This replica is not the leader, or lost leadership before the read was confirmed.
+    /// This replica is not the leader, or lost leadership before the read was served.
     NotLeader {
         /// Address of the leader, if known.
         leader_address: Option<SocketAddr>,
--- a/crates/yuccatack_replication/src/error.rs
+++ b/crates/yuccatack_replication/src/error.rs
@@ -26,10 +26,10 @@
         /// Message of the decoder.
         detail: String,
     },
-    /// The settings contradict each other.
+    /// A setting has an invalid value or contradicts another one.
     #[snafu(display("{problem}; correct the replication settings"))]
     InvalidSettings {
-        /// Description of the contradiction.
+        /// Rule that the settings violate.
         problem: &'static str,
     },
     /// The replication actor could not be started.
--- a/crates/yuccatack_replication/src/handle.rs
+++ b/crates/yuccatack_replication/src/handle.rs
@@ -135,8 +135,8 @@
         self.cast(ActorMessage::StateHash(index, hash));
     }
 
-    /// Transfers leadership to another voter; returns when this replica no longer leads, or when
-    /// the transfer has timed out.
+    /// Transfers leadership to another voter; returns when this replica does not lead, or when the
+    /// transfer was given up because it timed out or no other voter has responded recently.
     pub async fn transfer_leadership(&self) {
         let (reply, answer) = oneshot::channel();
         self.cast(ActorMessage::TransferLeadership(reply));
--- a/crates/yuccatack_replication/src/identifiers.rs
+++ b/crates/yuccatack_replication/src/identifiers.rs
@@ -55,8 +55,7 @@
     ReadId,
     /// Number of a requested membership change, assigned by the process that requests it.
     ChangeNumber,
-    /// Identifier of a cluster: the data folder incarnation of the replica that formed it. 0 stands
-        /// for no cluster.
+    /// Identifier of a cluster, the data folder incarnation of its founder; 0 for no cluster.
     ClusterId,
 }
 
--- a/crates/yuccatack_replication/src/persistence.rs
+++ b/crates/yuccatack_replication/src/persistence.rs
@@ -49,7 +49,7 @@
 /// Group of writes that are confirmed together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistBatch {
-    /// Number by which the confirmation refers to the batch; it increases by 1 a batch.
+    /// Number by which the confirmation refers to the batch; it increases by 1 per batch.
     pub sequence: u64,
     /// Writes in the order in which they must be made.
     pub operations: Vec<PersistOperation>,
--- a/crates/yuccatack_replication/src/state/election.rs
+++ b/crates/yuccatack_replication/src/state/election.rs
@@ -87,8 +87,8 @@
         voters.filter(|(replica, _)| *replica != self.settings.replica).collect()
     }
 
-    /// Returns `true` if a leader was in contact within the last election timeout, so that no other
-    /// election is needed.
+    /// Returns `true` if this replica leads or has heard from a leader within the last election
+    /// timeout, so that no other election is needed.
     fn has_recent_leader(&self) -> bool {
         if self.is_leader() {
             return true;
--- a/crates/yuccatack_replication/src/state/formation.rs
+++ b/crates/yuccatack_replication/src/state/formation.rs
@@ -87,7 +87,7 @@
             log::warn!(
                 event = "cluster_exists", replica = self.settings.replica.get();
                 "the cluster was formed with another data folder of this replica, so this replica \
-                 stays outside; remove the old member and add this replica as a learner"
+                 does not join it; remove the old member and add this replica as a learner"
             );
             formation.known_incarnations.clear();
             return;
@@ -132,8 +132,11 @@
         self.set_hard_state(HardState { term, voted_for, cluster });
     }
 
-    /// Returns `true` if a message is addressed to this data folder and cluster, and its sender is
-    /// valid. A replica without a cluster joins that of the sender if the message allows it.
+    /// Returns `true` if a message is for this data folder or for any, comes from the same cluster,
+    /// and, if it is a voter's response, from the data folder that the membership names.
+    ///
+    /// `Hello` and `HelloReply` are accepted from any cluster. A replica without a cluster joins
+    /// that of the sender if the message allows it.
     pub(super) fn accepts(&mut self, message: &Message) -> bool {
         if message.to != self.settings.replica {
             return false;
--- a/crates/yuccatack_replication/src/state/hashes.rs
+++ b/crates/yuccatack_replication/src/state/hashes.rs
@@ -9,7 +9,7 @@
 use crate::identifiers::{LogIndex, ReplicaId};
 use crate::message::MessageBody;
 
-/// Number of entries whose hashes are kept for replicas that report theirs later.
+/// Number of the newest entries whose hashes are kept for replicas that report theirs later.
 const KEPT_HASH_COUNT: usize = 64;
 
 /// Newest reported hashes by entry and replica.
@@ -70,8 +70,8 @@
         self.compare_hashes(index);
     }
 
-    /// Stops a follower whose hash differs from that of its leader, and a leader whose hash differs
-    /// from those of a majority of voters.
+    /// Stops a follower whose hash differs from that of its leader, and a leader if the replicas
+    /// with a different hash are more than half the number of voters.
     fn compare_hashes(&mut self, index: LogIndex) {
         let own_replica = self.settings.replica;
         let Some((own, replica, other, count)) = self.hashes.first_difference(index, own_replica)
--- a/crates/yuccatack_replication/src/state/membership_change.rs
+++ b/crates/yuccatack_replication/src/state/membership_change.rs
@@ -98,7 +98,8 @@
         Ok(Membership { outgoing, ..next })
     }
 
-    /// Returns the data folder of a learner, if it holds all entries up to `required_index`.
+    /// Returns the data folder of a learner, if it holds all entries up to `required_index` on disk
+    /// and has responded recently.
     ///
     /// Otherwise the repaired cluster would count a voter that lacks committed entries, which
     /// cannot help when another voter is lost right after the repair.
--- a/crates/yuccatack_replication/src/state/progress.rs
+++ b/crates/yuccatack_replication/src/state/progress.rs
@@ -5,7 +5,8 @@
 use crate::identifiers::LogIndex;
 use crate::persistence::StateSnapshot;
 
-/// Maximum number of unacknowledged entries per member; more would only fill its queues.
+/// Number of unacknowledged entries above which a member is sent no more; more would only fill its
+/// queues.
 pub(super) const WINDOW_ENTRY_COUNT: u64 = 8_192;
 
 /// Replication mode of a member.
@@ -34,7 +35,7 @@
 /// Replication progress of one member.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// Incarnation of the member's data folder; 0 for a learner that has not responded yet.
+    /// Incarnation of the member's data folder; 0 for a learner whose data folder is not known.
     pub incarnation: Incarnation,
     /// Last index that is known to match and to be on the member's disk.
     pub matched: LogIndex,
@@ -80,8 +81,8 @@
         self.mode = ReplicationMode::Probe { waiting: false };
     }
 
-    /// Schedules unacknowledged entries or chunks to be sent again after a timeout; probes are sent
-    /// again at once.
+    /// Schedules messages to be sent again: entries without progress for longer than `timeout_ms`,
+    /// a chunk without a response for twice as long, and a probe at once.
     pub fn resend_if_stalled(&mut self, now: TimestampMs, timeout_ms: u64) {
         match &mut self.mode {
             ReplicationMode::Probe { waiting } => *waiting = false,
--- a/crates/yuccatack_replication/src/state/snapshots.rs
+++ b/crates/yuccatack_replication/src/state/snapshots.rs
@@ -15,8 +15,8 @@
 /// less.
 const CHUNK_BYTES: u64 = 512 * 1024;
 
-/// Number of entries before a snapshot that stay in the log, so that a member that lags behind by
-/// fewer entries needs no snapshot.
+/// Maximum number of entries before a snapshot that stay in the log, so that a member that lags
+/// behind by no more than these needs no snapshot.
 const KEPT_ENTRY_COUNT: u64 = 1_000;
 
 /// Partially received snapshot.
--- a/crates/yuccatack_replication/tests/simulation/checks.rs
+++ b/crates/yuccatack_replication/tests/simulation/checks.rs
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Checks that a replica's command at position `count` is the one that all replicas delivered.
+    /// Checks that a replica's command at position `count` is the one that the first replica
+    /// delivered there, or records it if this replica is the first.
     pub fn deliver(&mut self, count: usize, index: LogIndex, term: Term, payload: &Bytes) {
         let command = (index, term, payload.clone());
         match self.commands.get(count) {
@@ -71,7 +72,10 @@
         let last = count.checked_sub(1).map(|position| self.commands[position].0);
         assert!(last.is_none_or(|last| last <= index));
         let next = self.commands.get(count).map(|command| command.0);
-        assert!(next.is_none_or(|next| next > index), "snapshot at {index} lacks a commit");
+        assert!(
+            next.is_none_or(|next| next > index),
+            "snapshot at {index} lacks a committed command"
+        );
     }
 
     pub fn propose(&mut self, proposal: ProposalId, payload: Bytes) {
@@ -95,7 +99,7 @@
         self.rejected.push(payload);
     }
 
-    /// Records that the outcome of a proposal is unknown, so that either is valid.
+    /// Records that the outcome of a proposal is unknown: the command may be committed or not.
     pub fn mark_unknown(&mut self, proposal: ProposalId) {
         self.proposals.remove(&proposal).expect("a second result");
     }
--- a/crates/yuccatack_replication/tests/simulation/faults.rs
+++ b/crates/yuccatack_replication/tests/simulation/faults.rs
@@ -216,7 +216,7 @@
     }
 }
 
-/// Wipes or kills another replica right after a promotion has completed.
+/// Wipes or kills a random replica, or neither, right after a promotion has completed.
 fn fail_another_node(simulator: &mut Simulator, operator: &mut Operator, plan: FaultPlan) {
     let id = random_node_or_leader(simulator);
     if plan.wipes && simulator.random.random_bool(0.5) && may_wipe(simulator, id) {
