--- a/crates/yuccatack_storage/src/folder.rs
+++ b/crates/yuccatack_storage/src/folder.rs
@@ -84,7 +84,8 @@
         self.incarnation
     }
 
-    /// Returns `true` if [`DataFolder::open`] formatted the folder, which was empty until then.
+    /// Returns `true` if the call of [`DataFolder::open`] that returned this value formatted the
+    /// folder.
     pub fn newly_formatted(&self) -> bool {
         self.newly_formatted
     }
--- a/crates/yuccatack_storage/src/format.rs
+++ b/crates/yuccatack_storage/src/format.rs
@@ -65,14 +65,14 @@
     }
 }
 
-/// Reads a little-endian integer at `offset`. Panics if `bytes` ends before it.
+/// Reads a little-endian integer at `offset`. Panics if `bytes` is too short.
 pub(crate) fn u32_at(bytes: &[u8], offset: usize) -> u32 {
     let mut raw = [0; 4];
     raw.copy_from_slice(&bytes[offset..offset + 4]);
     u32::from_le_bytes(raw)
 }
 
-/// Reads a little-endian integer at `offset`. Panics if `bytes` ends before it.
+/// Reads a little-endian integer at `offset`. Panics if `bytes` is too short.
 pub(crate) fn u64_at(bytes: &[u8], offset: usize) -> u64 {
     let mut raw = [0; 8];
     raw.copy_from_slice(&bytes[offset..offset + 8]);
--- a/crates/yuccatack_storage/src/log_entry.rs
+++ b/crates/yuccatack_storage/src/log_entry.rs
@@ -7,8 +7,8 @@
 /// Length of an entry's header: payload length, checksum, term and index.
 pub(crate) const ENTRY_HEADER_BYTES: usize = 4 + 4 + 8 + 8;
 
-/// Flag in the top bit of the length that marks the first entry of a group; a group is synced at
-/// once.
+/// Flag in the top bit of the length that marks the first entry of a group. All entries of a group
+/// share one sync.
 ///
 /// An invalid entry before the start of a later group is corrupted, because it was synced before
 /// that group was written. Without a later group it can be part of a torn last write.
--- a/crates/yuccatack_storage/src/log_store.rs
+++ b/crates/yuccatack_storage/src/log_store.rs
@@ -21,7 +21,7 @@
 /// The position immediately before the first entry of the log.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LogBase {
-    /// Index of the last entry that compaction removed; 0 for none.
+    /// Index of the last entry that compaction removed or a received snapshot replaced; 0 for none.
     pub index: u64,
     /// Term of that entry; 0 for none.
     pub term: u64,
