--- a/crates/yuccatack_records/src/change.rs
+++ b/crates/yuccatack_records/src/change.rs
@@ -65,7 +65,7 @@
 /// The outcome of a change.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// The change was applied; the record comes into force.
+    /// The change was applied: a submitted or changed record is in force, a withdrawn one is not.
     Accepted {
         /// Generation of the record after the change.
         generation: Generation,
@@ -98,7 +98,7 @@
     InvalidChange,
     /// The document is malformed or violates a constraint of its schema.
     InvalidRecord,
-    /// The document has a schema version that this replica does not support.
+    /// The document has a newer schema version than this replica supports.
     NewerSchemaVersion,
     /// The record refers to an organisation that is not in force.
     UnknownOrganisation,
@@ -177,7 +177,8 @@
     pub kind: RefusalKind,
     /// Description of the fault and its remedy, at most 4096 bytes long.
     pub message: Arc<str>,
-    /// Generation in force, or that of the withdrawal; 0 if the name was never in use.
+    /// Generation in force, or that of the withdrawal; 0 if the name was never in use or the
+    /// refusal is not about a generation.
     pub current_generation: Generation,
 }
 
--- a/crates/yuccatack_records/src/problem.rs
+++ b/crates/yuccatack_records/src/problem.rs
@@ -25,7 +25,7 @@
     /// A top-level key occurs more than once.
     #[snafu(display("`{field}` occurs more than once; keep one of them"))]
     DuplicateKey {
-        /// Path of the key in the document, for example `replicas[0].address`.
+        /// Name of the top-level key.
         field: String,
     },
     /// The schema version has no such key.
@@ -96,7 +96,7 @@
         /// The violated rule and the remedy.
         detail: String,
     },
-    /// The document has a schema version that this program does not support.
+    /// The document has a newer schema version than this program supports.
     #[snafu(display(
         "schema version {found} is newer than {newest}, the newest one that this control replica \
          knows; upgrade every control replica first, or write the record in version {newest}"
--- a/crates/yuccatack_records/src/record.rs
+++ b/crates/yuccatack_records/src/record.rs
@@ -21,7 +21,7 @@
     Service,
     /// A service-level objective.
     Objective,
-    /// Voting members of the control group.
+    /// Voting control replicas.
     Membership,
 }
 
@@ -145,7 +145,7 @@
     pub name: RecordName,
     /// Organisation that may claim the shapes.
     pub organisation: OrganisationName,
-    /// Tasks and resources of one instance.
+    /// Tasks of the guaranteed shape and the resources of each.
     pub shape: Shape,
     /// Number of these shapes that are guaranteed at the same time.
     pub shape_count: u32,
--- a/crates/yuccatack_records/src/wire/v1.rs
+++ b/crates/yuccatack_records/src/wire/v1.rs
@@ -280,7 +280,8 @@
                 organisation,
                 indicator: indicator?,
                 target_ratio: target? / 100.0,
-                // The range check above excludes overflow; the conversion only drops a fraction.
+                // The range check above excludes overflow; rounding changes the value by at most
+                // half a millisecond.
                 threshold_ms: (threshold? * 1000.0).round() as u64,
             })
         })();
--- a/crates/yuccatack_records/src/wire/v2_membership.rs
+++ b/crates/yuccatack_records/src/wire/v2_membership.rs
@@ -10,7 +10,7 @@
 use crate::problem::RecordProblem;
 use crate::record::{MembershipRecord, MembershipReplica};
 
-/// Maximum number of control replicas; the design size has no larger control group.
+/// Maximum number of control replicas; the design size has no more.
 const MAX_REPLICA_COUNT: usize = 13;
 /// Name of the only membership record.
 const MEMBERSHIP_NAME: &str = "control";
--- a/crates/yuccatack_records/tests/operator_races/simulation.rs
+++ b/crates/yuccatack_records/tests/operator_races/simulation.rs
@@ -102,7 +102,7 @@
         self.send(change);
     }
 
-    /// Resends a change, either one of the eight newest or any earlier one.
+    /// Resends one of the eight newest changes, or any change sent so far.
     fn resend(&mut self) {
         if self.sent.is_empty() {
             return;
@@ -118,7 +118,7 @@
         self.network.push(Message { change, deliver_at_step });
     }
 
-    /// Delivers due messages: the leader commits the change, or it is deposed after logging it.
+    /// Delivers due messages: the leader commits the change, or is deposed after logging it.
     fn deliver(&mut self) {
         let step = self.step;
         let (due, later) = std::mem::take(&mut self.network)
