--- a/crates/yuccatack_leases/examples/decision_time/main.rs
+++ b/crates/yuccatack_leases/examples/decision_time/main.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Measures scheduling rounds in which the oldest job is a starved gang that does not fit. They
-    /// include searches, reservations and plans of moves; one small job arrives in each round.
+    /// Measures scheduling passes in which the oldest job is a starved gang that does not fit. They
+    /// include searches, reservations and plans of moves; one small job arrives in each pass.
     fn time_starved(&mut self, task_count: u32) {
         let Ok(mut round) = Histogram::<u64>::new(3) else { return };
         let shape = Shape { task_count, task: resources(8, 32, 1), adjacency: Adjacency::Rack };
--- a/crates/yuccatack_leases/examples/replay/engine.rs
+++ b/crates/yuccatack_leases/examples/replay/engine.rs
@@ -39,7 +39,7 @@
     pub move_count: u64,
     /// Samples of the share of accelerators in use, from 0 to 1.
     pub utilisation: Vec<f64>,
-    /// Number of jobs that did not succeed, cancelled ones excluded.
+    /// Number of accepted jobs that did not succeed, without those that their caller cancels.
     pub unfinished: usize,
 }
 
--- a/crates/yuccatack_leases/examples/replay/mix.rs
+++ b/crates/yuccatack_leases/examples/replay/mix.rs
@@ -12,9 +12,9 @@
 /// Deployment whose mix of jobs is replayed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Deployment {
-    /// Timing of triathlons: small urgent jobs, and gangs within a data centre.
+    /// Triathlon results: gangs within a data centre beside small jobs.
     Timing,
-    /// Review of credit applications: small urgent jobs, and gangs mostly within a rack.
+    /// Credit reviews: gangs mostly within a rack beside small jobs.
     Lending,
 }
 
@@ -26,11 +26,11 @@
     pub cancelled_at: Option<u64>,
 }
 
-/// Fault of one or several workers.
+/// Fault of one or several workers. Its times are in milliseconds since the start of the arrivals.
 pub enum Fault {
-    /// Every task on this worker fails between the two times.
+    /// Every task on this worker fails from the first time until the second.
     Failing(usize, u64, u64),
-    /// These workers are powered off between the two times.
+    /// These workers are powered off from the first time until the second.
     Off(Vec<usize>, u64, u64),
 }
 
--- a/crates/yuccatack_leases/src/attempt.rs
+++ b/crates/yuccatack_leases/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Lifecycle of an attempt after its start: eviction, stop, release of tasks, and completion.
+//! Lifecycle of an attempt after its placement: eviction, stop, release of tasks, and completion.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::WorkerIndex;
@@ -122,7 +122,7 @@
         self.promote_booked(worker, at);
     }
 
-    /// Assigns freed capacity to the tasks that are booked on this worker.
+    /// Assigns freed capacity to those tasks booked on this worker that now fit.
     pub(crate) fn promote_booked(&mut self, worker: WorkerIndex, at: TimestampMs) {
         let Some(capacity) = self.cluster.worker(worker) else { return };
         if capacity.booked == Resources::default() {
--- a/crates/yuccatack_leases/src/begin.rs
+++ b/crates/yuccatack_leases/src/begin.rs
@@ -1,4 +1,4 @@
-//! Validation and start of an attempt.
+//! Validation and placement of an attempt.
 
 use yuccatack_core::prelude::*;
 use yuccatack_placement::{Assignment, WorkerIndex};
--- a/crates/yuccatack_leases/src/check.rs
+++ b/crates/yuccatack_leases/src/check.rs
@@ -73,7 +73,7 @@
         /// Name of the guarantee.
         guarantee: RecordName,
     },
-    /// The guarantee refers to a data centre without workers.
+    /// The guarantee refers to a data centre in which no worker was ever registered.
     #[snafu(display(
         "guarantee `{guarantee}` names data centre `{data_centre}`, which has no workers; correct \
          the name or wait for its workers"
@@ -81,7 +81,7 @@
     UnknownDataCentre {
         /// Name of the guarantee.
         guarantee: RecordName,
-        /// Name that matches no data centre of a registered worker.
+        /// Name that matches no data centre of a worker registered so far.
         data_centre: DataCentreName,
     },
     /// The guarantee does not fit together with the accepted ones.
--- a/crates/yuccatack_leases/src/claim.rs
+++ b/crates/yuccatack_leases/src/claim.rs
@@ -20,14 +20,14 @@
                 * u64::from(entry.spec.shape.task.accelerator_count)
         };
         // A small job that is not urgent would block a large shape for the job it is meant for.
-        let large_enough = |entry: &GuaranteeEntry| {
+        let eligible = |entry: &GuaranteeEntry| {
             job.spec.class == PriorityClass::Urgent
                 || 2 * job.spec.accelerator_count() >= accelerators(entry)
         };
         let mut entries: Vec<&GuaranteeEntry> = entries
             .iter()
             .copied()
-            .filter(|entry| entry.spec.covers(&job.spec) && large_enough(entry))
+            .filter(|entry| entry.spec.covers(&job.spec) && eligible(entry))
             .collect();
         entries.sort_by_key(|entry| accelerators(entry));
         let mut found = Vec::new();
--- a/crates/yuccatack_leases/src/defragment.rs
+++ b/crates/yuccatack_leases/src/defragment.rs
@@ -21,7 +21,8 @@
 /// Most jobs preempted at once for a starved job; they need no search. The largest gang has 64
 /// tasks.
 const MAX_PREEMPTED_JOBS: usize = 64;
-/// Interval between two consolidation searches, which run only while no job starves.
+/// Minimum time between a search for moves and a consolidation search. The latter runs only while
+/// no job holds a reservation.
 const CONSOLIDATION_INTERVAL: DurationMs = DurationMs::from_seconds(10);
 /// Accelerators that a move must make usable; fewer are within the error of the estimate.
 const MIN_GAIN_ACCELERATORS: f64 = 1.0;
@@ -245,7 +246,7 @@
     }
 }
 
-/// Interval between two searches for moves on behalf of a waiting job.
+/// Minimum time between a search for moves and a search on behalf of a waiting job.
 const MOVE_SEARCH_INTERVAL: DurationMs = DurationMs::from_seconds(5);
 
 /// Returns how many movable jobs must leave the worker for one more slot, and their accelerators.
--- a/crates/yuccatack_leases/src/health.rs
+++ b/crates/yuccatack_leases/src/health.rs
@@ -7,9 +7,10 @@
 use crate::worker::{WorkerEntry, WorkerHealth};
 use crate::{MAX_FAILED_JOBS, MAX_FAILED_WORKERS};
 
-/// Delay before the first probe of a quarantined worker; it doubles with each failed probe.
+/// Delay before the first probe of a quarantined worker. It doubles with each failure in quarantine
+/// and each further quarantine, up to [`MAX_PROBE_BACKOFF_MS`], until a success resets it.
 const INITIAL_PROBE_BACKOFF_MS: u64 = 30_000;
-/// Longest delay between probes. Half an hour limits a permanently broken worker to 48 failed jobs
+/// Maximum delay before a probe. Half an hour limits a permanently broken worker to 48 failed jobs
 /// a day.
 const MAX_PROBE_BACKOFF_MS: u64 = 1_800_000;
 /// Time for which the entry of a lost worker is kept.
--- a/crates/yuccatack_leases/src/heartbeat.rs
+++ b/crates/yuccatack_leases/src/heartbeat.rs
@@ -20,7 +20,7 @@
 pub enum ReportedState {
     /// The capacity is held and the task can be started.
     Prepared,
-    /// The task has been started.
+    /// The task has been started and has not ended.
     Running,
     /// The task saved its progress and ended.
     Checkpointed,
--- a/crates/yuccatack_leases/src/invariant.rs
+++ b/crates/yuccatack_leases/src/invariant.rs
@@ -27,8 +27,9 @@
     /// Recomputes the capacity of every worker from attempts and bindings, and compares it with the
     /// stored values.
     ///
-    /// Covers R1 (every unclaimed guaranteed shape can be freed by reclaiming borrowers alone),
-    /// R2 (a started gang is whole until it ends) and that no accelerator has two users.
+    /// Also checks that every unclaimed guaranteed shape can be freed by reclaiming borrowers
+    /// alone, that every task of a started gang was prepared, and that no accelerator has two
+    /// users.
     pub fn verify(&self) -> Result<(), String> {
         let mut used: BTreeMap<u32, Resources> = BTreeMap::new();
         let mut booked: BTreeMap<u32, Resources> = BTreeMap::new();
--- a/crates/yuccatack_leases/src/lib.rs
+++ b/crates/yuccatack_leases/src/lib.rs
@@ -51,7 +51,7 @@
 
 /// Time for which a worker may run tasks, counted from the sending of an answered heartbeat.
 pub const LEASE_DURATION: DurationMs = DurationMs::new(6_000);
-/// Largest drift between the clocks of a worker and of the leader during one lease.
+/// Largest tolerated drift between the clocks of a worker and of the leader during one lease.
 pub const CLOCK_MARGIN: DurationMs = DurationMs::new(500);
 /// Interval between the heartbeats of a worker while nothing changes on it.
 pub const HEARTBEAT_INTERVAL: DurationMs = DurationMs::new(2_000);
--- a/crates/yuccatack_leases/src/message.rs
+++ b/crates/yuccatack_leases/src/message.rs
@@ -52,7 +52,8 @@
         /// Time at which the leader found the margin expired.
         at: TimestampMs,
     },
-    /// Returns a quarantined worker to service without a successful probe.
+    /// Returns a quarantined worker to service without a probe, because no waiting job is suitable
+    /// as one.
     ReleaseOnProbation {
         /// Name of the quarantined worker.
         worker: WorkerName,
--- a/crates/yuccatack_leases/src/reclaim.rs
+++ b/crates/yuccatack_leases/src/reclaim.rs
@@ -18,9 +18,9 @@
 fn preemption_cost(
     job: &JobEntry,
 ) -> (bool, std::cmp::Reverse<PriorityClass>, bool, std::cmp::Reverse<u64>) {
-    let started = job.attempt().map_or(0, |attempt| attempt.began_at.get());
+    let began_at_ms = job.attempt().map_or(0, |attempt| attempt.began_at.get());
     let class = std::cmp::Reverse(job.spec.class);
-    (!job.spec.idempotent, class, !job.spec.checkpointable, std::cmp::Reverse(started))
+    (!job.spec.idempotent, class, !job.spec.checkpointable, std::cmp::Reverse(began_at_ms))
 }
 
 impl LeaseTable {
--- a/crates/yuccatack_leases/src/reservation.rs
+++ b/crates/yuccatack_leases/src/reservation.rs
@@ -6,11 +6,12 @@
 use crate::job::JobEntry;
 use crate::table::LeaseTable;
 
-/// Waiting time after which a job that its quota allows gets a reservation.
+/// Waiting time after which the oldest job within its quota gets a reservation.
 pub(crate) const STARVATION_THRESHOLD: DurationMs = DurationMs::from_seconds(120);
-/// Waiting time after which other jobs are moved, if that frees capacity for the job.
+/// Waiting time after which other jobs are moved if that frees capacity for the oldest job.
 pub(crate) const DEFRAGMENTATION_THRESHOLD: DurationMs = DurationMs::from_seconds(5);
-/// Quantile of the run time by which a backfilled job must end before the reservation starts.
+/// Probability with which a backfilled job must be expected to end before the reservation starts;
+/// run times are estimated at this quantile.
 pub(crate) const BACKFILL_QUANTILE: f32 = 0.8;
 
 /// Job that others may not delay, with the capacity reserved for it.
--- a/crates/yuccatack_leases/src/scheduler.rs
+++ b/crates/yuccatack_leases/src/scheduler.rs
@@ -73,7 +73,7 @@
             .is_some_and(|session| !session.loss_proposed && session.lease_end > now)
     }
 
-    /// Handles a heartbeat and returns the reply with the commands to propose. Send the reply only
+    /// Handles a heartbeat and returns the reply and the commands to propose. Send the reply only
     /// while the leadership is confirmed and at most [`CLOCK_MARGIN`] after `now`.
     pub fn heartbeat(
         &mut self,
@@ -139,7 +139,8 @@
         (reply, proposals)
     }
 
-    /// Returns the commands that `worker` has to carry out. Empty while it holds no lease.
+    /// Returns the commands that `worker` has to carry out. Empty if this leader has granted no
+    /// lease to its current registration, or has proposed its loss.
     pub fn commands_for(&self, table: &LeaseTable, worker: &WorkerName) -> Vec<WorkerCommand> {
         let Some(session) = self.workers.get(worker) else { return Vec::new() };
         let Some(entry) = table.workers.get(worker) else { return Vec::new() };
--- a/crates/yuccatack_leases/src/scheduling_pass.rs
+++ b/crates/yuccatack_leases/src/scheduling_pass.rs
@@ -38,7 +38,7 @@
     Policy,
     /// Baseline: in order of arrival, on the first domain with enough capacity.
     FirstFit,
-    /// Baseline: in order of arrival, on the domain with the least free capacity that suffices.
+    /// Baseline: in order of arrival, on the workers with the fewest free accelerators.
     BestFit,
 }
 
@@ -289,8 +289,8 @@
         self.table.quota_of(&job.spec.organisation).is_none_or(|quota| held <= u64::from(quota))
     }
 
-    /// Places the oldest waiting job, or frees or reserves capacity for it. The oldest job is the
-    /// head of a queue, so only heads are considered.
+    /// Places the oldest waiting job that is not urgent and within its quota, or frees or reserves
+    /// capacity for it. The oldest job is the head of a queue, so only heads are considered.
     fn place_starved(&mut self, scheduler: &mut Scheduler) {
         let table = self.table;
         let classes = [PriorityClass::Standard, PriorityClass::Batch];
--- a/crates/yuccatack_leases/src/worker.rs
+++ b/crates/yuccatack_leases/src/worker.rs
@@ -33,7 +33,8 @@
     /// Different jobs that failed on the worker since its last success, at most
     /// [`MAX_FAILED_JOBS`](crate::MAX_FAILED_JOBS).
     pub failed_jobs: BTreeSet<JobName>,
-    /// Delay before the next probe that is scheduled; doubles each time and is reset by a success.
+    /// Delay before the next probe that is scheduled; doubles each time up to half an hour and is
+    /// reset by a success.
     pub backoff_ms: u64,
     /// Number of times that the worker was quarantined.
     pub quarantine_count: u32,
--- a/crates/yuccatack_leases/tests/job_checks.rs
+++ b/crates/yuccatack_leases/tests/job_checks.rs
@@ -76,7 +76,7 @@
 #[test]
 fn refuses_faulty_job() {
     let mut platform = platform_with(6);
-    // Other jobs succeed on the workers, so the failures count against the job.
+    // Other jobs succeed on the workers first, so the failures count against the job.
     for number in 0..30 {
         platform.submit(job(&format!("good-{number}"), "alpha", shape(1, 1, Adjacency::Worker)));
     }
--- a/crates/yuccatack_leases/tests/support/check.rs
+++ b/crates/yuccatack_leases/tests/support/check.rs
@@ -39,7 +39,7 @@
         }
         for (name, entry) in self.table.jobs() {
             if matches!(entry.phase, JobPhase::Succeeded) {
-                self.complete(name, entry, &mut violations);
+                self.check_success_complete(name, entry, &mut violations);
             }
         }
         violations
@@ -153,8 +153,8 @@
         end
     }
 
-    /// Returns `true` if the process of the task was frozen in the interval and resumed at most
-    /// [`PARTIAL_LIMIT_MS`] before `end`.
+    /// Returns `true` if the process of the task was frozen between `from` and `end`, and `end` is
+    /// at most [`PARTIAL_LIMIT_MS`] after it resumed.
     fn was_frozen(&self, record: &TaskRecord, from: u64, end: u64) -> bool {
         self.workers.iter().any(|worker| {
             let own = worker.model.records().iter().any(|other| std::ptr::eq(other, record));
@@ -165,7 +165,12 @@
     }
 
     /// Checks that every task of a successful job succeeded in its last attempt.
-    fn complete(&self, name: &JobName, entry: &JobEntry, violations: &mut Vec<String>) {
+    fn check_success_complete(
+        &self,
+        name: &JobName,
+        entry: &JobEntry,
+        violations: &mut Vec<String>,
+    ) {
         if self.has_false_reports(name) {
             return;
         }
--- a/crates/yuccatack_leases/tests/support/mod.rs
+++ b/crates/yuccatack_leases/tests/support/mod.rs
@@ -24,7 +24,8 @@
     uplink: Vec<(u64, u64, HeartbeatReport)>,
     /// Replies in transit, each with its time of arrival and the sending time of its heartbeat.
     downlink: Vec<(u64, u64, HeartbeatReply)>,
-    /// Reply that the leader holds until a command is due, with its time of arrival and of sending.
+    /// Reply that the leader holds until a command is due, with the time of arrival and of sending
+    /// of its heartbeat.
     held: Option<(u64, u64, HeartbeatReply)>,
     /// End of the time in which no message passes between the worker and the leader.
     pub disconnected_until: u64,
@@ -38,7 +39,7 @@
     pub false_reports: BTreeSet<TaskReference>,
     /// Start and end of each time in which the process was suspended.
     pub freeze_intervals: Vec<(u64, u64)>,
-    /// Network latency of each message, in both directions.
+    /// Network latency of each message, the same in both directions.
     pub latency_ms: u64,
 }
 
