--- a/crates/yuccatack_placement/src/baseline.rs
+++ b/crates/yuccatack_placement/src/baseline.rs
@@ -11,8 +11,10 @@
     scan(overlay, shape, |workers| workers)
 }
 
-/// Places the gang on the workers with the fewest free accelerators first, in the first domain in
-/// this order that can hold it.
+/// Places the gang on the workers with the fewest free accelerators first.
+///
+/// Domains are tried in the order of the fewest free accelerators on one of their workers; the
+/// first that can hold the gang is used.
 pub fn best_fit(overlay: &Overlay<'_>, shape: &Shape) -> Option<Placement> {
     let free = |worker: u32| overlay.free(worker).accelerator_count;
     scan(overlay, shape, |mut workers: Vec<u32>| {
--- a/crates/yuccatack_placement/src/cluster.rs
+++ b/crates/yuccatack_placement/src/cluster.rs
@@ -9,8 +9,8 @@
 
 /// Maximum number of data centres searched for capacity for a starved gang.
 const MAX_SEARCHED_DATA_CENTRE_COUNT: usize = 4;
-/// Maximum number of workers of a data centre searched for capacity for a starved gang; 1.5 times
-/// the task count of the largest gang, which is 64.
+/// Maximum number of workers of a data centre searched for capacity for a starved gang. It is 1.5
+/// times the 64 tasks of the largest gang.
 const MAX_SEARCHED_WORKER_COUNT: usize = 96;
 /// Maximum number of racks, or of single workers, of a data centre searched for capacity.
 const MAX_SEARCHED_RACK_COUNT: usize = 24;
--- a/crates/yuccatack_placement/tests/place_gang.rs
+++ b/crates/yuccatack_placement/tests/place_gang.rs
@@ -128,7 +128,7 @@
     assert!(place_request(&cluster, &excluded).is_none());
 }
 
-/// Guards against two decisions of one scheduling round that allocate the same capacity.
+/// Guards against two decisions of one scheduling pass that allocate the same capacity.
 #[test]
 fn overlay_allocations() {
     let cluster = cluster();
