--- a/crates/yuccatack_admission/tests/fair_queue.rs
+++ b/crates/yuccatack_admission/tests/fair_queue.rs
@@ -49,8 +49,8 @@
     );
 }
 
-/// Guards against urgent requests that are served after less urgent ones, or rejected by a queue
-/// that is full of them.
+/// Guards against urgent requests that are served after less urgent ones, or rejected because less
+/// urgent ones fill the queue.
 #[test]
 fn urgent_first() {
     let mut queue = FairQueue::new(LIMITS);
