--- a/crates/yuccatack_core/src/time.rs
+++ b/crates/yuccatack_core/src/time.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Timestamp in milliseconds on a clock of the local process.
+/// Timestamp in milliseconds on a clock of the process that reads it.
 ///
 /// Decision code takes the current time as an argument and never reads a clock. The caller chooses
 /// between the monotonic and the wall clock; a single state never mixes the two.
