--- a/crates/yuccatack_lifecycle/src/lib.rs
+++ b/crates/yuccatack_lifecycle/src/lib.rs
@@ -39,7 +39,7 @@
 }
 
 impl ShutdownTrigger {
-    /// Advances the shutdown to `phase`; has no effect if it has already reached that phase.
+    /// Advances the shutdown to `phase`; has no effect if it has reached that phase or a later one.
     pub fn advance(&self, phase: ShutdownPhase) {
         self.sender.send_if_modified(|current| {
             let advanced = phase > *current;
