--- a/crates/yuccatack_settings/src/error.rs
+++ b/crates/yuccatack_settings/src/error.rs
@@ -19,14 +19,14 @@
     Read {
         /// Path that was given to [`load`](crate::load).
         path: PathBuf,
-        /// Error returned by the operating system.
+        /// Error of reading the file.
         source: io::Error,
     },
-    /// The settings violate the schema of the role or a rule between settings.
+    /// The text is not valid YAML, or violates the schema of the role or a rule between settings.
     #[snafu(display("{}", join_lines(problems)))]
     Invalid {
         /// All problems: invalid keys in file order, then missing keys, then violated rules between
-        /// settings.
+        /// settings. Only one if the YAML or the key `role` is invalid.
         problems: Vec<Problem>,
     },
 }
--- a/crates/yuccatack_settings/src/field.rs
+++ b/crates/yuccatack_settings/src/field.rs
@@ -3,7 +3,7 @@
 /// Schema of one key of a settings file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Field {
-    /// Key in the file; a numeric key ends in its unit.
+    /// Key in the file; a numeric key states its unit, unless it is an identifier.
     pub key: &'static str,
     /// Type and range of the value.
     pub kind: FieldKind,
@@ -24,7 +24,7 @@
     Addresses,
     /// Absolute path of a folder.
     Folder,
-    /// Whole number within inclusive bounds, in the unit that the key ends in.
+    /// Whole number within inclusive bounds, in the unit that the key states.
     Integer {
         /// Lower bound, inclusive.
         minimum: u64,
@@ -68,7 +68,7 @@
         Self { key, kind, presence: Presence::Default(default), meaning }
     }
 
-    /// Returns the unit that the key ends in, or an empty string if it has none.
+    /// Returns the unit that the key states, or an empty string if it states none.
     pub fn unit(&self) -> &'static str {
         match self.key {
             key if key.ends_with("_ms") => "milliseconds",
--- a/crates/yuccatack_settings/src/validation/section.rs
+++ b/crates/yuccatack_settings/src/validation/section.rs
@@ -14,7 +14,7 @@
     prefix: &'a str,
 }
 
-/// Valid address, together with the path of the key that holds it.
+/// Parsed address, together with the path of the key that holds it.
 #[derive(Clone, Debug)]
 pub(super) struct AddressSetting {
     pub(super) path: String,
@@ -88,7 +88,8 @@
         self.mapping.get(key)
     }
 
-    /// Returns the valid addresses of a key that holds one address or a list of them.
+    /// Returns the addresses of a key that holds one address or a list of them. Values that are not
+    /// addresses are left out.
     pub(super) fn addresses(&self, key: &str) -> Vec<AddressSetting> {
         let path = self.path(key);
         match self.mapping.get(key) {
--- a/crates/yuccatack_settings/tests/reference_page.rs
+++ b/crates/yuccatack_settings/tests/reference_page.rs
@@ -76,7 +76,7 @@
     assert_section("## Role `agent`", Role::Agent.fields());
 }
 
-/// Guards against numeric keys without a unit suffix.
+/// Guards against numeric keys that do not state their unit, identifiers aside.
 #[test]
 fn numbers_state_unit() {
     for role in Role::ALL {
