--- a/crates/yuccatack_requests/src/dispatch/message.rs
+++ b/crates/yuccatack_requests/src/dispatch/message.rs
@@ -72,6 +72,7 @@
     Execute(ClaimedAttempt),
     /// Request the attempt's resolution from its agent on a new connection.
     Resolve(ClaimedAttempt),
-    /// Return the outcome to the caller; no commands follow.
+    /// Return the outcome to the caller, exactly once. Only a [`Settle`](Self::Settle) of the same
+    /// call to the state machine may follow; it must still be carried out.
     Finish(Outcome),
 }
--- a/crates/yuccatack_requests/src/http_mapping.rs
+++ b/crates/yuccatack_requests/src/http_mapping.rs
@@ -1,4 +1,4 @@
-//! Mapping of outcomes to HTTP status codes and headers; no other module assigns them.
+//! Mapping of outcomes to HTTP status codes and headers; no other module maps outcomes.
 
 use std::sync::Arc;
 
--- a/crates/yuccatack_requests/src/outcome.rs
+++ b/crates/yuccatack_requests/src/outcome.rs
@@ -45,13 +45,13 @@
     RateLimited,
     /// The organisation exceeds its number of concurrent requests.
     ConcurrencyLimited,
-    /// The queue of the service is at its length limit.
+    /// The queue of the service, the memory for bodies or the retry budget of the entry is exhausted.
     QueueFull,
     /// The deadline passed, or would have passed, before a minion received the request.
     Deadline,
     /// No minion of the service accepts new requests.
     NoMinion,
-    /// Every slot of the minion is in use.
+    /// Every slot of the minion is in use, or no minion of the service can accept an attempt now.
     NoSlot,
     /// The minion is draining and accepts no new requests.
     Leaving,
@@ -61,7 +61,7 @@
     AgentUnreachable,
     /// The agent has restarted since the attempt was addressed.
     WrongIncarnation,
-    /// The attempt was resolved before it arrived, so it must never run.
+    /// The attempt was refused, or resolved before it arrived, so it must never run.
     Barred,
     /// The node has had no confirmed configuration for too long.
     StaleView,
--- a/crates/yuccatack_requests/tests/claim_table.rs
+++ b/crates/yuccatack_requests/tests/claim_table.rs
@@ -102,7 +102,8 @@
     assert_eq!(table.len(), 3);
 }
 
-/// Guards against accepting keys without a valid issue time or above the length limit.
+/// Guards against accepting keys without a valid issue time, without text after it, with other than
+/// visible ASCII characters, or above the length limit.
 #[test]
 fn key_form() {
     for text in ["", "-", "5", "5-", "-a", "a-b", "5 -a", "99999999999999999999999-a", "5-ä"] {
--- a/crates/yuccatack_requests/tests/simulation/mod.rs
+++ b/crates/yuccatack_requests/tests/simulation/mod.rs
@@ -43,7 +43,7 @@
     ToggleViewFresh { agent: usize },
 }
 
-/// Number of calls by outcome, and number of requests that ran on a minion.
+/// Number of calls by outcome, and number of runs on minions.
 #[derive(Debug, Default)]
 pub struct OutcomeCounts {
     pub completed: usize,
