--- a/crates/yuccatack_control/src/error.rs
+++ b/crates/yuccatack_control/src/error.rs
@@ -70,7 +70,8 @@
         /// Address of the leader; `None` while no leader is known.
         leader_address: Option<SocketAddr>,
     },
-    /// Leadership was lost before the command was committed, so it may or may not take effect.
+    /// Leadership was lost before the command was committed, or the actor did not respond in time,
+    /// so the command may or may not take effect.
     #[snafu(display(
         "leadership changed while the command was on its way; resend it with the same identifier"
     ))]
--- a/crates/yuccatack_control/src/leader.rs
+++ b/crates/yuccatack_control/src/leader.rs
@@ -49,8 +49,9 @@
         self.scheduler.schedule(leases, now)
     }
 
-    /// Handles a heartbeat and returns the commands to propose. A response without commands for the
-    /// worker is delayed until there is one or the delay limit has passed.
+    /// Handles a heartbeat and returns the commands to propose. A response that grants a lease and
+    /// has neither commands nor acknowledgements is delayed until the worker may have a new command,
+    /// sends its next heartbeat, or the delay limit has passed.
     pub fn heartbeat(
         &mut self,
         leases: &LeaseTable,
