--- a/crates/yuccatack_control_client/src/error.rs
+++ b/crates/yuccatack_control_client/src/error.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
-    /// No replica accepted the call, so it had no effect.
+    /// The call had no effect: no replica executed it, or it only reads and its response was lost.
     #[snafu(display(
         "no control replica took the call within {deadline_ms} ms, so it had no effect ({detail}); \
          check the control addresses and that a quorum runs, then send it again"
--- a/crates/yuccatack_control_client/tests/leader_hints.rs
+++ b/crates/yuccatack_control_client/tests/leader_hints.rs
@@ -189,7 +189,8 @@
     }
 }
 
-/// Guards against an error for a change whose response was lost but which a resend returns.
+/// Guards against an error for a change whose first response was lost, although a resend with the
+/// same change id returns it.
 #[tokio::test]
 async fn change_resent() {
     let (leader, calls) = serve(Behaviour::LosesFirstResponse).await;
