--- a/crates/yuccatack_agent/src/lib.rs
+++ b/crates/yuccatack_agent/src/lib.rs
@@ -1,6 +1,6 @@
 //! The agent process that runs next to each minion and sends it requests.
 //!
-//! The agent reports its minion's status to the control replicas, owns the minion's slots and
+//! The agent reports its minion's status to the control leader, owns the minion's slots and
 //! connections, runs attempts against it, keeps their outcomes, and drains on shutdown. One task
 //! owns the table of attempts and the idle connections; each HTTP exchange with the minion runs in
 //! its own task.
--- a/crates/yuccatack_agent/src/report.rs
+++ b/crates/yuccatack_agent/src/report.rs
@@ -1,12 +1,12 @@
-//! Status of the minion, which the agent reports to the control replicas.
+//! Status of the minion, which the agent reports to the control leader.
 
 use std::time::Duration;
 
 use yuccatack_requests::outcome::{NotRunReason, Outcome, UnknownReason};
 use yuccatack_view::{MinionState, MinionStatus};
 
-/// Inverse of the weight of a new response time in the moving average.
-const LATENCY_SMOOTHING: u64 = 8;
+/// Divisor of the moving average: a new response time has the weight of one part in this many.
+const LATENCY_SMOOTHING_DIVISOR: u64 = 8;
 
 /// Current status of the minion, with the state derived from draining and reachability.
 #[derive(Clone, Debug)]
@@ -56,7 +56,10 @@
                 let latency_us = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
                 self.status.latency_us = match self.status.latency_us {
                     0 => latency_us,
-                    old => (old * (LATENCY_SMOOTHING - 1) + latency_us) / LATENCY_SMOOTHING,
+                    old => {
+                        (old * (LATENCY_SMOOTHING_DIVISOR - 1) + latency_us)
+                            / LATENCY_SMOOTHING_DIVISOR
+                    }
                 };
             }
             Outcome::NotRun(not_run) if not_run.reason == NotRunReason::MinionUnreachable => {
