--- a/crates/yuccatack_view/src/publisher/stream.rs
+++ b/crates/yuccatack_view/src/publisher/stream.rs
@@ -7,7 +7,7 @@
 use crate::message::{NodeRole, Report};
 
 /// Maximum number of reports that wait for a confirmation of leadership. A node sends two a second,
-/// so in a longer queue no confirmation has arrived and the oldest reports have become useless.
+/// so the oldest report of a longer queue has waited for many seconds and is of no use any more.
 const MAX_UNCONFIRMED_REPORTS: usize = 32;
 
 /// Versions of a minion that were last sent on a stream; see `ListedMinion`.
--- a/crates/yuccatack_view/src/state.rs
+++ b/crates/yuccatack_view/src/state.rs
@@ -46,7 +46,8 @@
     pub slot_count: u32,
     /// Number of requests that the minion is running.
     pub slots_in_use: u32,
-    /// Number of requests that wait at the agent for a slot.
+    /// Number of requests that wait at the agent. Agents refuse requests without a free slot instead
+    /// of queueing them, so they report 0.
     pub queued_count: u32,
     /// Moving average of the response times, in microseconds.
     pub latency_us: u64,
