--- a/crates/yuccatack_entry/src/agent_client.rs
+++ b/crates/yuccatack_entry/src/agent_client.rs
@@ -107,7 +107,8 @@
     read_response(stream, claimed.attempt, &content.organisation, body_limit_bytes).await
 }
 
-/// Queries the resolution of an attempt that was sent earlier, for at most `wait`.
+/// Queries the resolution of an attempt. The agent may delay its response for up to `wait` while the
+/// attempt is running.
 pub async fn resolve(
     channel: Channel,
     claimed: &ClaimedAttempt,
--- a/crates/yuccatack_entry/src/balancer/actor.rs
+++ b/crates/yuccatack_entry/src/balancer/actor.rs
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Replies with a minion or a refusal. Returns the request if no minion has a free slot.
+    /// Replies with a minion or a refusal. Returns the request if it has to wait, because every minion
+    /// is full, skipped or ejected.
     fn try_choose(&mut self, request: ChooseRequest) -> Option<ChooseRequest> {
         if request.reply.is_closed() {
             return None;
@@ -214,7 +215,7 @@
         now: TimestampMs,
     ) {
         if let Err(Ok(target)) = reply.send(Ok(target)) {
-            // The request ended while it waited, so that its slot is released.
+            // The request ended while it waited; its slot is released.
             self.router.record_feedback(&target, Feedback::Neutral, now);
         }
     }
@@ -266,7 +267,7 @@
 
     /// Assigns minions of one service to its waiting requests.
     ///
-    /// Refuses a request with less than twice the mean latency left before its deadline: if it were
+    /// Refuses a request with at most twice the mean latency left before its deadline: if it were
     /// started and not answered in time, it would occupy a slot and end with an unknown outcome.
     fn serve_queue(&mut self, service: &ServiceName, queue: &mut FairQueue<ChooseRequest>) {
         let mean_latency = self.router.mean_latency(service);
--- a/crates/yuccatack_entry/src/process.rs
+++ b/crates/yuccatack_entry/src/process.rs
@@ -33,7 +33,7 @@
 pub struct EntryInputs {
     /// Listener for callers and operators.
     pub listener: TcpListener,
-    /// Local copy of the records and minions, received from the control replicas.
+    /// Local copy of the records and minions, received from the control leader.
     pub view: ViewHandle,
     /// Claims idempotency keys at the control leader.
     pub claims: ClaimClient,
