--- a/crates/yuccatack_cli/src/commands/check.rs
+++ b/crates/yuccatack_cli/src/commands/check.rs
@@ -16,8 +16,8 @@
 #[derive(Debug, Serialize)]
 struct FileProblem {
     file: PathBuf,
-    /// Position of the document in the file, from 1; `None` for settings and for files that are
-    /// not valid YAML or JSON.
+    /// Position of the document in the file, from 1; `None` for settings and for files whose
+    /// documents cannot be read.
     document: Option<usize>,
     message: String,
 }
--- a/crates/yuccatack_cli/src/commands/mod.rs
+++ b/crates/yuccatack_cli/src/commands/mod.rs
@@ -78,7 +78,7 @@
     matches.get_one::<String>(name).map(String::as_str)
 }
 
-/// Returns an argument that the parser requires, so that it is only missing after a bug.
+/// Returns a required argument. The parser has already rejected a command line without it.
 fn required<'a>(matches: &'a ArgMatches, name: &str) -> Result<&'a str, CliError> {
     match text(matches, name) {
         Some(text) => Ok(text),
--- a/crates/yuccatack_cli/src/documents.rs
+++ b/crates/yuccatack_cli/src/documents.rs
@@ -50,7 +50,8 @@
 }
 
 impl Document {
-    /// Returns `true` if the document is a record, or `false` if it contains process settings.
+    /// Returns `false` if the document contains process settings: a `role` and no `kind`. Any other
+    /// document counts as a record.
     pub(crate) fn is_record(&self) -> bool {
         self.content.get("kind").is_some() || self.content.get("role").is_none()
     }
--- a/crates/yuccatack_cli/src/error.rs
+++ b/crates/yuccatack_cli/src/error.rs
@@ -18,8 +18,8 @@
     Refused,
     /// Code 2: the arguments or input files are invalid; nothing was sent.
     Usage,
-    /// Code 3: the entry is unreachable or cannot serve requests at present; the request that failed
-    /// had no effect.
+    /// Code 3: the entry is unreachable or cannot serve requests at present; the failed request had
+    /// no effect.
     NotReachable,
     /// Code 4: the response was lost, so a change may or may not have taken effect.
     Unknown,
@@ -94,7 +94,7 @@
         /// Failure to connect, or message of the entry.
         reason: String,
     },
-    /// The entry responded with a status of 500 or above to a read.
+    /// The entry responded to a read with a 5xx status.
     #[snafu(display("the entry at {address} cannot answer now ({status}): {reason}; try again"))]
     Unavailable {
         /// Address of the entry.
--- a/crates/yuccatack_cli/src/run.rs
+++ b/crates/yuccatack_cli/src/run.rs
@@ -11,7 +11,7 @@
 use yuccatack_settings::{Settings, SettingsError};
 use yuccatack_telemetry::{LogDestination, LoggingError, init_logging};
 
-/// Time between the abort of a role and the end of the process, in which the role logs its
+/// Maximum time between the abort of a role and the end of the process, in which the role logs its
 /// unfinished work.
 const ABORT_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
@@ -87,7 +87,7 @@
     let (trigger, shutdown) = shutdown_channel();
     let abort_shutdown = shutdown.clone();
     tokio::spawn(handle_signals(trigger, drain_limit(&settings)));
-    log::info!(event = "process_started", role = role(&settings); "process started");
+    log::info!(event = "process_started", role = role(&settings); "started");
     tokio::select! {
         outcome = run_role(settings, shutdown.clone()) => outcome?,
         () = wait_for_abort(abort_shutdown) => {}
@@ -96,7 +96,7 @@
         log::warn!(event = "process_aborted"; "the drain limit or a second signal ended the drain");
         return DrainIncompleteSnafu.fail();
     }
-    log::info!(event = "process_stopped"; "stopped with nothing left");
+    log::info!(event = "process_stopped"; "process stopped");
     Ok(())
 }
 
--- a/crates/yuccatack_cli/tests/burn_report.rs
+++ b/crates/yuccatack_cli/tests/burn_report.rs
@@ -42,8 +42,8 @@
     insta::assert_snapshot!(outcome.text());
 }
 
-/// Guards against burn rates and alerts that are computed before the counts of the processes are
-/// added up.
+/// Guards against a merged report whose counts, burn rate or alert come from some of the processes
+/// only, and against an HTML page without a chart.
 #[test]
 fn process_reports_merged() {
     let (first, second) = (start_process("/burn", 1000), start_process("/burn", 600));
@@ -72,7 +72,7 @@
     assert!(std::fs::read_to_string(page).unwrap().contains("<svg"));
 }
 
-/// Guards against a response 404 that is reported without the path it concerns.
+/// Guards against a 404 response that is reported as a success or without the path.
 #[test]
 fn missing_report_path_shown() {
     let entry = start_process("/burn", 1000);
@@ -81,7 +81,8 @@
     assert!(outcome.messages.contains("no burn report at /v1/burn"), "{}", outcome.messages);
 }
 
-/// Guards against a page that could not be written but is not reported.
+/// Guards against an HTML page that cannot be written and is reported as a success or without its
+/// path.
 #[test]
 fn unwritable_page_path_shown() {
     let entry = start_process("/v1/burn", 980);
--- a/crates/yuccatack_cli/tests/help_text.rs
+++ b/crates/yuccatack_cli/tests/help_text.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// Guards against contradictory argument definitions, which clap detects only in this check.
+/// Guards against contradictory argument definitions. Without this check, clap detects them only in
+/// debug builds, and only for the commands that are parsed.
 #[test]
 fn argument_definitions_consistent() {
     yuccatack_cli::command().debug_assert();
--- a/crates/yuccatack_cli/tests/operator_commands.rs
+++ b/crates/yuccatack_cli/tests/operator_commands.rs
@@ -353,7 +353,8 @@
     assert_eq!(changes[0]["record"], json!({"kind": "organisation", "name": "selangor"}));
 }
 
-/// Guards against output of `get` that omits values or cannot be applied again.
+/// Guards against output of `get` that omits values, and against a missing record that is reported
+/// as a success.
 #[test]
 fn records_shown() {
     let entry = Entry::start(|request| match request.path.as_str() {
@@ -368,7 +369,8 @@
     insta::assert_snapshot!(format!("{}\n{}\n{}", list.text(), one.text(), none.text()));
 }
 
-/// Guards against output of `status` and `explain` that omits values of the document.
+/// Guards against output of `status` and `explain` that omits values of the document, and against
+/// an unknown job that is reported as a success.
 #[test]
 fn status_and_explanation_shown() {
     let entry = Entry::start(|request| match request.path.as_str() {
