--- a/crates/yuccatack_stand_ins/src/minion.rs
+++ b/crates/yuccatack_stand_ins/src/minion.rs
@@ -22,6 +22,7 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::task::{AbortHandle, JoinSet};
 
+/// Exceeds the default body limit of an agent, 16 MiB.
 const OVERSIZED_BODY_LENGTH_BYTES: usize = 20 * 1024 * 1024;
 /// Delay between the data of a truncated response and the end of its connection, so that the peer
 /// receives the data first.
@@ -39,7 +40,7 @@
     Truncate,
     /// Responds with the attempt id and body of another request.
     Crossed,
-    /// Responds with a body of 20 MiB, which exceeds every body limit.
+    /// Responds with a body of 20 MiB, which exceeds the default body limit of 16 MiB.
     Oversized,
     /// Runs the request and closes the connection without a response.
     CloseEarly,
@@ -198,7 +199,8 @@
         self.gauges.connection_peak.load(Ordering::SeqCst)
     }
 
-    /// Returns the highest number of requests that were running or queued at the same time.
+    /// Returns the highest number of requests that were being received, queued or running at the
+    /// same time.
     pub fn running_peak(&self) -> usize {
         self.gauges.running_peak.load(Ordering::SeqCst)
     }
