--- a/crates/yuccatack_entry/examples/measure_requests/main.rs
+++ b/crates/yuccatack_entry/examples/measure_requests/main.rs
@@ -1,4 +1,4 @@
-//! Measures the request path on real sockets, with all roles in one process.
+//! Measures the request path on real sockets, with an entry, agents and minions in one process.
 //!
 //! `cargo run --release -p yuccatack_entry --example measure_requests -- latency`, or `overload`,
 //! `balance` or `idle`. The figures in docs/requests.md come from this program.
--- a/crates/yuccatack_entry/src/agent_client.rs
+++ b/crates/yuccatack_entry/src/agent_client.rs
@@ -107,7 +107,8 @@
     read_response(stream, claimed.attempt, &content.organisation, body_limit_bytes).await
 }
 
-/// Queries the resolution of an attempt that was sent earlier, for at most `wait`.
+/// Queries the resolution of an attempt that was sent earlier. The agent waits at most `wait` for
+/// the end of the attempt.
 pub async fn resolve(
     channel: Channel,
     claimed: &ClaimedAttempt,
--- a/crates/yuccatack_entry/src/balancer/actor.rs
+++ b/crates/yuccatack_entry/src/balancer/actor.rs
@@ -24,7 +24,7 @@
 /// Settings of admission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BalancerSettings {
-    /// Limits of the queue of each service; the length in the record of the service overrides.
+    /// Limits of the queue of each service; the record of a service overrides the length.
     pub queue: QueueLimits,
     /// Budget that retries and hedges share.
     pub retries: RetryBudgetSettings,
@@ -214,7 +214,7 @@
         now: TimestampMs,
     ) {
         if let Err(Ok(target)) = reply.send(Ok(target)) {
-            // The request ended while it waited, so that its slot is released.
+            // The request ended while it waited; this releases its slot.
             self.router.record_feedback(&target, Feedback::Neutral, now);
         }
     }
@@ -266,7 +266,7 @@
 
     /// Assigns minions of one service to its waiting requests.
     ///
-    /// Refuses a request with less than twice the mean latency left before its deadline: if it were
+    /// Refuses a request with at most twice the mean latency left before its deadline: if it were
     /// started and not answered in time, it would occupy a slot and end with an unknown outcome.
     fn serve_queue(&mut self, service: &ServiceName, queue: &mut FairQueue<ChooseRequest>) {
         let mean_latency = self.router.mean_latency(service);
--- a/crates/yuccatack_entry/src/call.rs
+++ b/crates/yuccatack_entry/src/call.rs
@@ -372,7 +372,7 @@
         Err(error) => {
             log::debug!(
                 event = "attempt_broken", attempt:% = claimed.attempt;
-                "{error}; closing the connection to the agent"
+                "{error}; removing the connection to the agent from the pool"
             );
             connections.close(claimed.address).await;
             DispatchEvent::Broken(claimed.attempt)
--- a/crates/yuccatack_entry/src/caller.rs
+++ b/crates/yuccatack_entry/src/caller.rs
@@ -15,8 +15,9 @@
 /// Longest deadline that a caller may request.
 const DEADLINE_LIMIT_MS: u64 = 10 * 60 * 1000;
 
-/// Headers that apply to one connection only and are not forwarded to minions.
-const CONNECTION_HEADERS: [&str; 11] = [
+/// Headers that are not forwarded to minions, because they describe the connection to the entry or
+/// the framing of the request. Headers of this system (`yuccatack-*`) are not forwarded either.
+const UNFORWARDED_HEADERS: [&str; 11] = [
     "connection",
     "content-length",
     "expect",
@@ -97,7 +98,8 @@
 }
 
 fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
-    let dropped = |name: &str| CONNECTION_HEADERS.contains(&name) || name.starts_with("yuccatack-");
+    let dropped =
+        |name: &str| UNFORWARDED_HEADERS.contains(&name) || name.starts_with("yuccatack-");
     headers
         .iter()
         .filter(|(name, _)| !dropped(name.as_str()))
--- a/crates/yuccatack_entry/src/connection_pool.rs
+++ b/crates/yuccatack_entry/src/connection_pool.rs
@@ -8,7 +8,7 @@
 
 use crate::agent_client::{AgentCallError, connect};
 
-/// Maximum number of pooled connections. All of them are dropped when it is reached.
+/// Maximum number of pooled connections. Adding one to a full pool removes all others from it.
 const POOLED_CONNECTION_COUNT_LIMIT: usize = 256;
 
 enum PoolMessage {
--- a/crates/yuccatack_entry/tests/bad_callers.rs
+++ b/crates/yuccatack_entry/tests/bad_callers.rs
@@ -136,7 +136,7 @@
         let answer = read_all(stream).await;
         refused += usize::from(answer.contains("yuccatack-reason: queue_full"));
     }
-    // 32 bodies of the maximum size fit; of the 40, the others are refused and the rest time out.
+    // 32 bodies of the maximum size fit, so at least 8 of the 40 are refused; the others time out.
     assert!((8..40).contains(&refused), "{refused}");
     let after = system.post(IDEMPOTENT, "after").await;
     assert_eq!(after.status, 200, "{after:?}");
--- a/crates/yuccatack_entry/tests/common/mod.rs
+++ b/crates/yuccatack_entry/tests/common/mod.rs
@@ -313,7 +313,7 @@
         Self { view, minions, agents, claims, entry }
     }
 
-    pub async fn post(&self, headers: &[(&str, &str)], body: &str) -> CallerAnswer {
+    pub async fn post(&self, headers: &[(&str, &str)], body: &str) -> CallerResponse {
         post(self.entry.address, headers, body).await
     }
 
@@ -327,13 +327,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct CallerAnswer {
+pub struct CallerResponse {
     pub status: u16,
     pub headers: BTreeMap<String, String>,
     pub body: Bytes,
 }
 
-impl CallerAnswer {
+impl CallerResponse {
     pub fn outcome(&self) -> &str {
         self.headers.get("yuccatack-outcome").map_or("", String::as_str)
     }
@@ -347,7 +347,7 @@
     &[("yuccatack-organisation", "lender"), ("yuccatack-idempotent", "true")];
 
 /// Sends one request on a new connection.
-pub async fn post(address: SocketAddr, headers: &[(&str, &str)], body: &str) -> CallerAnswer {
+pub async fn post(address: SocketAddr, headers: &[(&str, &str)], body: &str) -> CallerResponse {
     let stream = TcpStream::connect(address).await.unwrap();
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.unwrap();
     tokio::spawn(connection);
@@ -362,5 +362,5 @@
     let headers = response.headers();
     let headers = headers.iter().map(|(name, value)| (name.to_string(), text(value))).collect();
     let body = response.into_body().collect().await.unwrap().to_bytes();
-    CallerAnswer { status, headers, body }
+    CallerResponse { status, headers, body }
 }
--- a/crates/yuccatack_entry/tests/key_claims.rs
+++ b/crates/yuccatack_entry/tests/key_claims.rs
@@ -24,8 +24,8 @@
     format!("{}-{text}", unix_time().get())
 }
 
-/// Guards against a second run of an idempotency key that is sent again through another entry,
-/// concurrently or later.
+/// Guards against a second run of a request that is sent again with the same idempotency key
+/// through another entry, concurrently or later.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn resend_elsewhere() {
     let slow = MinionBehaviour { delay: Duration::from_millis(100), ..Default::default() };
@@ -47,8 +47,8 @@
     assert_eq!(system.run_count().await, 1);
 }
 
-/// Guards against reused, expired, future or malformed idempotency keys that run a request or are
-/// refused for another reason.
+/// Guards against reused, expired, future, malformed or missing idempotency keys that run a request
+/// or are refused for another reason.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn refused_keys() {
     let system = System::start(&[MinionBehaviour::default()]).await;
--- a/crates/yuccatack_entry/tests/silent_links.rs
+++ b/crates/yuccatack_entry/tests/silent_links.rs
@@ -13,7 +13,8 @@
 use yuccatack_requests::claims::claim_channel;
 use yuccatack_stand_ins::{MinionBehaviour, MinionStandIn};
 
-/// Forwards connections; `stalled` is the number of the last one whose responses are held back.
+/// Forwards connections, numbered from 1, to `to`. Stops forwarding the responses on connections
+/// whose number is at most `stalled`.
 async fn forward(listener: TcpListener, to: SocketAddr, stalled: watch::Receiver<usize>) {
     let mut number = 0;
     while let Ok((inward, _)) = listener.accept().await {
@@ -79,7 +80,8 @@
     let started = Instant::now();
     let answer = call.await.unwrap();
     assert_eq!((answer.status, answer.body.as_ref()), (200, b"body".as_ref()), "{answer:?}");
-    // The entry resolves an attempt after 1 s without a response; keep-alive pings take 2 s.
+    // The entry resolves an attempt after 1 s without a response; keep-alive pings would detect the
+    // stall only after 2 s.
     assert!(started.elapsed() < Duration::from_millis(1_500), "{:?}", started.elapsed());
     assert_eq!(minion.runs().await.len(), 1);
     drop(agent);
