--- a/examples/footprint/roles.rs
+++ b/examples/footprint/roles.rs
@@ -122,8 +122,8 @@
             accelerator_count: 8,
         },
     };
-    // Each worker lists the replicas in another order, so that they connect to different ones
-    // first.
+    // The list of replicas is rotated by the number of the worker, so that the workers connect to
+    // different replicas first.
     let mut control_addresses = control.to_vec();
     control_addresses.rotate_left(number % control.len());
     Ok(WorkerStandIn::start(WorkerSettings {
