--- a/crates/yuccatack_cli/src/run.rs
+++ b/crates/yuccatack_cli/src/run.rs
@@ -11,7 +11,7 @@
 use yuccatack_settings::{Settings, SettingsError};
 use yuccatack_telemetry::{LogDestination, LoggingError, init_logging};
 
-/// Time between the abort of a role and the end of the process, in which the role logs its
+/// Maximum time between the abort of a role and the end of the process, in which the role logs its
 /// unfinished work.
 const ABORT_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
@@ -96,7 +96,7 @@
         log::warn!(event = "process_aborted"; "the drain limit or a second signal ended the drain");
         return DrainIncompleteSnafu.fail();
     }
-    log::info!(event = "process_stopped"; "stopped with nothing left");
+    log::info!(event = "process_stopped"; "process stopped");
     Ok(())
 }
 
--- a/crates/yuccatack_entry/src/balancer/actor.rs
+++ b/crates/yuccatack_entry/src/balancer/actor.rs
@@ -24,7 +24,7 @@
 /// Settings of admission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BalancerSettings {
-    /// Limits of the queue of each service; the length in the record of the service overrides.
+    /// Limits of the queue of each service; the record of a service overrides the length.
     pub queue: QueueLimits,
     /// Budget that retries and hedges share.
     pub retries: RetryBudgetSettings,
@@ -215,7 +215,7 @@
         now: TimestampMs,
     ) {
         if let Err(Ok(target)) = reply.send(Ok(target)) {
-            // The request ended while it waited; its slot is released.
+            // The request ended while it waited; this releases its slot.
             self.router.record_feedback(&target, Feedback::Neutral, now);
         }
     }
--- a/crates/yuccatack_entry/src/caller.rs
+++ b/crates/yuccatack_entry/src/caller.rs
@@ -15,7 +15,8 @@
 /// Longest deadline that a caller may request.
 const DEADLINE_LIMIT_MS: u64 = 10 * 60 * 1000;
 
-/// Headers that apply to one connection or to the entry itself and are not forwarded to minions.
+/// Headers that are not forwarded to minions, because they describe the connection to the entry or
+/// the framing of the request. Headers of this system (`yuccatack-*`) are not forwarded either.
 const UNFORWARDED_HEADERS: [&str; 11] = [
     "connection",
     "content-length",
