--- a/crates/yuccatack_dispatch/src/capacity.rs
+++ b/crates/yuccatack_dispatch/src/capacity.rs
@@ -8,7 +8,7 @@
 
 use crate::session::{OrderState, Session};
 
-/// State of a worker during one round of placement.
+/// State of a worker during one scheduling pass.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerSnapshot {
     pub node: NodeName,
@@ -23,7 +23,7 @@
     pub total: Resources,
     /// Set if no run failed here recently, so that the worker may get a task's last attempt.
     pub reliable: bool,
-    /// Reserved for a group that is more urgent than those placed later in the round.
+    /// Reserved for a group that is more urgent than those placed later in the pass.
     pub reserved: bool,
     /// Headroom for urgent groups that may arrive soon.
     pub held_for_urgent: bool,
--- a/crates/yuccatack_dispatch/src/dispatcher.rs
+++ b/crates/yuccatack_dispatch/src/dispatcher.rs
@@ -18,8 +18,8 @@
 use crate::session::{OrderState, Session};
 use crate::settings::DispatchSettings;
 
-/// Number of tasks for which one decision searches for runs to evict. A group is searched as a
-/// whole, so the last one may exceed the limit. A search visits every run for every task, so a
+/// Number of tasks for which one scheduling pass searches for runs to evict. A group is searched as
+/// a whole, so the last one may exceed the limit. A search visits every run for every task, so a
 /// burst of urgent jobs would otherwise delay the leader's heartbeats.
 const EVICTION_SEARCH_TASK_COUNT: usize = 32;
 
@@ -148,7 +148,7 @@
         log::info!(
             event = "worker_life_began", node = node.as_str(), life:% = incarnation,
             draining = state.draining;
-            "a new incarnation of the worker announced itself; runs of earlier ones are lost"
+            "the worker announced itself; runs of its other incarnations are lost"
         );
         session.begin_incarnation(state);
         lost_run_ends(table, |other| other.node == incarnation.node && *other != incarnation)
--- a/crates/yuccatack_dispatch/src/eviction.rs
+++ b/crates/yuccatack_dispatch/src/eviction.rs
@@ -15,7 +15,7 @@
 
 impl Dispatcher {
     /// Evicts less urgent runs for a group that does not fit, and reserves their capacity for it.
-    /// Returns `false` if no eviction makes the group fit.
+    /// Returns `false` if no eviction makes the group fit, or if it would lose too much work.
     pub(crate) fn evict_for(
         &mut self,
         group: &TaskGroup<'_>,
--- a/crates/yuccatack_dispatch/src/health.rs
+++ b/crates/yuccatack_dispatch/src/health.rs
@@ -41,7 +41,7 @@
     consecutive_failures: u32,
     consecutive_quarantines: u32,
     quarantined_until: Option<TimestampMs>,
-    /// Time of the last failure; `None` if a task has completed since.
+    /// Time of the last failure; `None` if no run has failed since the last completed task.
     failed_at: Option<TimestampMs>,
     progress: FastHashMap<RunId, ProgressSamples>,
 }
--- a/crates/yuccatack_dispatch/src/lib.rs
+++ b/crates/yuccatack_dispatch/src/lib.rs
@@ -1,8 +1,8 @@
 //! Scheduling decisions of the control leader: placement of runs, their leases, and evictions.
 //!
 //! [`Dispatcher`] holds the leader's state of its workers. The state is not replicated: a new
-//! leader starts without it and rebuilds it from the reports of the agents. All functions take the
-//! current time as an argument.
+//! leader starts without it and rebuilds it from the reports of the agents. No function
+//! reads a clock: the current time is an argument.
 
 mod capacity;
 mod demand;
--- a/crates/yuccatack_dispatch/src/observation.rs
+++ b/crates/yuccatack_dispatch/src/observation.rs
@@ -71,7 +71,8 @@
     }
 }
 
-/// Returns the changes that add the ends of runs that the table does not hold yet.
+/// Returns the changes for run ends that were not proposed yet: the ends of runs that are open in
+/// the table, and one acknowledgement up to the last of them.
 fn record_ends(
     session: &mut Session,
     observation: &Observation,
--- a/crates/yuccatack_dispatch/src/placement.rs
+++ b/crates/yuccatack_dispatch/src/placement.rs
@@ -108,8 +108,8 @@
     placements.min_by_key(|placement| leftover(placement, workers, kind))
 }
 
-/// Returns the accelerators that are free on the chosen workers. Placements with small leftovers
-/// keep other workers empty for large groups.
+/// Returns the accelerators that are free on the chosen workers before the placement. Placements
+/// with small leftovers keep other workers empty for large groups.
 fn leftover(placement: &Placement, workers: &[WorkerSnapshot], kind: CapacityKind) -> u32 {
     let chosen: BTreeSet<usize> = placement.iter().copied().collect();
     chosen.into_iter().map(|index| kind.of(&workers[index]).accelerator_count).sum()
--- a/crates/yuccatack_dispatch/src/protocol.rs
+++ b/crates/yuccatack_dispatch/src/protocol.rs
@@ -101,7 +101,8 @@
 /// Orders from the leader to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
-    /// Fencing token of the leader; agents drop orders with a lower one.
+    /// Fencing token of the leader. An agent drops orders whose token is lower than one that it has
+    /// received before.
     pub token: u64,
     /// Incarnation that the orders are for; no other one may carry them out.
     #[serde(rename = "life")]
--- a/crates/yuccatack_dispatch/src/reconcile.rs
+++ b/crates/yuccatack_dispatch/src/reconcile.rs
@@ -13,7 +13,7 @@
 /// Run of a whole gang: job, occurrence, step and run number.
 type GangRun = (JobName, u32, u32, u32);
 
-/// Inputs of one round of orders.
+/// Inputs from which the orders of one scheduling pass follow.
 pub(crate) struct Reconciliation<'a> {
     pub settings: &'a DispatchSettings,
     pub table: &'a JobTable,
--- a/crates/yuccatack_dispatch/tests/reclaim_order.rs
+++ b/crates/yuccatack_dispatch/tests/reclaim_order.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn burst_searches_limited() {
-    // Each urgent task needs a search over all runs; one decision must not make all 40 searches.
+    // Each urgent task needs a search over all runs; one pass must not make all 40 of them.
     let worker_count = 40;
     let mut cluster = TestCluster::new(worker_count);
     for worker_index in 0..worker_count {
@@ -91,7 +91,7 @@
         cluster.submit(&format!("urgent{job_index}"), 0, step(1, 8));
     }
     let first = stops(&cluster.decide()).len();
-    assert!((1..worker_count).contains(&first), "{first} evictions in one decision");
+    assert!((1..worker_count).contains(&first), "{first} evictions in one scheduling pass");
     let second = stops(&cluster.decide()).len();
     assert_eq!(
         first + second,
--- a/crates/yuccatack_dispatch/tests/support/mod.rs
+++ b/crates/yuccatack_dispatch/tests/support/mod.rs
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Runs one decision, applies its changes and returns the orders.
+    /// Runs one scheduling pass, applies its changes and returns the orders.
     pub fn decide(&mut self) -> Vec<(NodeName, Orders)> {
         let (now, unix_ms) = (self.now, self.now.get());
         let changes = self.dispatcher.decide(&self.table, &self.configuration, now, unix_ms);
