--- a/crates/yuccatack_runs/src/command.rs
+++ b/crates/yuccatack_runs/src/command.rs
@@ -23,7 +23,7 @@
     pub priority: u32,
     /// Number of failed runs of one task or gang after which the job fails.
     pub max_attempts: u32,
-    /// Factor by which the objective of the job exceeds the length of its longest chain of steps.
+    /// Factor by which the objective multiplies the estimated length of the longest chain of steps.
     pub stretch: f64,
     /// Time that the objective allows beyond the stretched chain.
     pub allowance_ms: DurationMs,
--- a/crates/yuccatack_runs/src/job.rs
+++ b/crates/yuccatack_runs/src/job.rs
@@ -62,8 +62,8 @@
         self.ended_at_unix_ms = Some(now_unix_ms);
     }
 
-    /// Returns `true` if a run may begin now: its step is ready, its task has neither completed nor
-    /// an open run, and its number is the next one.
+    /// Returns `true` if a run may begin now: the job has not ended, the step is ready, the task
+    /// has neither completed nor an open run, and the number of the run is the next one.
     pub(crate) fn may_begin(&self, run: &RunId) -> bool {
         let task = &run.task;
         if self.phase.is_final() || task.occurrence >= self.submission.spec.occurrence_count() {
--- a/crates/yuccatack_runs/src/spec.rs
+++ b/crates/yuccatack_runs/src/spec.rs
@@ -17,7 +17,7 @@
     pub payload: Arc<str>,
     /// Steps of the job; the predecessors of each step come before it.
     pub steps: Vec<StepSpec>,
-    /// Times at which the steps run; `None` runs them once, immediately.
+    /// Times at which the steps run; `None` runs them once, as soon as possible.
     pub schedule: Option<Schedule>,
 }
 
