--- a/crates/yuccatack_queue_client/src/client.rs
+++ b/crates/yuccatack_queue_client/src/client.rs
@@ -156,7 +156,7 @@
             Err(error) => {
                 log::error!(
                     event = "answer_not_decoded", address:% = address;
-                    "the outcome of the call is unknown: {error}"
+                    "ignoring the replica's response, which cannot be decoded: {error}"
                 );
                 Err(AttemptError::Unknown)
             }
@@ -216,7 +216,8 @@
         }
     }
 
-    /// Returns the leader's next frame, or `None` if the stream is over.
+    /// Returns the leader's next frame, or `None` if the stream has ended, the replica does not
+    /// lead, or a frame cannot be decoded; the caller then drops the stream.
     pub async fn receive(&mut self) -> Option<LeaderFrame> {
         let envelope = self.receiver.message().await.ok()??;
         match LeaderFrame::try_from(envelope) {
@@ -234,7 +235,7 @@
             Err(error) => {
                 log::error!(
                     event = "orders_not_decoded", address:% = self.address;
-                    "the stream to the leader is closed: {error}"
+                    "closing the stream, since a frame of the leader cannot be decoded: {error}"
                 );
                 None
             }
--- a/crates/yuccatack_queue_client/src/protocol.rs
+++ b/crates/yuccatack_queue_client/src/protocol.rs
@@ -30,7 +30,7 @@
     Read(CallTarget),
     /// Cancels a job, which then starts no more runs.
     Cancel(CallTarget),
-    /// Puts a configuration in force unless a newer one is.
+    /// Puts a configuration in force if its version is higher than the current one.
     Configure(Arc<Configuration>),
     /// Reads the document of the configuration in force.
     ReadConfiguration,
