--- a/crates/yuccatack_queue_control/src/actor.rs
+++ b/crates/yuccatack_queue_control/src/actor.rs
@@ -39,7 +39,7 @@
 /// Continuation of a read once a quorum has confirmed the leadership.
 pub(crate) enum PendingRead {
     Call(Request, oneshot::Sender<Response>),
-    /// Allows leases based on reports that arrived before `began_at`.
+    /// Allows leases based on reports that arrived no later than `began_at`.
     Leases {
         began_at: TimestampMs,
     },
--- a/crates/yuccatack_queue_control/src/agents.rs
+++ b/crates/yuccatack_queue_control/src/agents.rs
@@ -26,7 +26,7 @@
         frames: mpsc::Sender<LeaderFrame>,
         token: u64,
     ) {
-        // On failure the agent misses the leader's frames and opens another stream.
+        // This fails only if the agent has closed the stream; it then opens another one.
         let _ = frames.try_send(LeaderFrame::Leading { token });
         self.streams.insert(node, AgentStream { stream, frames });
     }
--- a/crates/yuccatack_queue_control/src/join.rs
+++ b/crates/yuccatack_queue_control/src/join.rs
@@ -45,7 +45,7 @@
             if let Err(error) = client.call(&request, JOIN_REQUEST_TIMEOUT).await {
                 log::info!(
                     event = "join_not_answered";
-                    "no leader accepted the join request of this replica; retrying: {error}"
+                    "no leader confirmed the join request of this replica; retrying: {error}"
                 );
             }
         }
--- a/crates/yuccatack_queue_control/src/membership.rs
+++ b/crates/yuccatack_queue_control/src/membership.rs
@@ -130,7 +130,7 @@
             }
             Err(error) => log::warn!(
                 event = "membership_not_changed", change:? = change;
-                "the membership change failed and the members are unchanged: {error}"
+                "the membership change was not confirmed; checking the members again: {error}"
             ),
         }
     }
--- a/crates/yuccatack_queue_control/src/observe.rs
+++ b/crates/yuccatack_queue_control/src/observe.rs
@@ -79,7 +79,7 @@
         (Command::Configure(configuration), Applied::Configured(acceptance)) => log::info!(
             event = "configuration_in_force", version = configuration.version.get(),
             outcome:? = acceptance, index = index.get();
-            "a submitted configuration was put in force or superseded by a newer one"
+            "a submitted configuration was put in force, or a version at least as high already was"
         ),
         (Command::Change { .. }, _) => {
             for name in unfinished {
