--- a/crates/yuccatack_worker_agent/src/agent.rs
+++ b/crates/yuccatack_worker_agent/src/agent.rs
@@ -352,7 +352,7 @@
         if replaces_current {
             log::info!(
                 event = "worker_found", life:% = state.incarnation;
-                "a new incarnation of the worker announced itself"
+                "the worker announced itself; reporting it to the leader"
             );
             self.reset_incarnation();
             self.sequence = sequence;
@@ -424,7 +424,7 @@
                 if !self.last_poll_failed {
                     log::warn!(
                         event = "worker_silent", life:% = incarnation;
-                        "polling the worker failed; no run is reported until a retry succeeds"
+                        "polling the worker failed; its runs are not reported until a poll succeeds"
                     );
                 }
                 self.last_poll_failed = true;
--- a/crates/yuccatack_worker_agent/src/port.rs
+++ b/crates/yuccatack_worker_agent/src/port.rs
@@ -29,7 +29,7 @@
     pub incarnation: WorkerIncarnation,
     /// Fencing token of the leader that ordered it.
     pub token: u64,
-    /// Attempt of a task to start.
+    /// Run to start.
     pub run: RunId,
     /// Payload of the job, passed to the worker unchanged.
     pub payload: Arc<str>,
