--- a/crates/yuccatack_telemetry/src/logging/limiter.rs
+++ b/crates/yuccatack_telemetry/src/logging/limiter.rs
@@ -55,8 +55,8 @@
         Self { line_limit_count, window, windows: BTreeMap::new() }
     }
 
-    /// Counts one line and decides if it is written. Call [`Self::expire`] first, so that the line
-    /// is not counted in a window that has ended.
+    /// Counts one line and decides whether it is written. Call [`Self::expire`] first, so that
+    /// the line is not counted in a window that has ended.
     pub fn check(&mut self, event: &Arc<str>, level: Level, now: TimestampMs) -> Decision {
         let key = (Arc::clone(event), level);
         if self.windows.len() >= MAXIMUM_WINDOW_COUNT && !self.windows.contains_key(&key) {
--- a/crates/yuccatack_telemetry/src/logging/line.rs
+++ b/crates/yuccatack_telemetry/src/logging/line.rs
@@ -41,10 +41,10 @@
         Value::Object(line).to_string()
     }
 
-    /// Encodes the line that stands for suppressed lines.
+    /// Encodes the line that stands for lines that were suppressed, or dropped from a full queue.
     pub fn encode_summary(&self, summary: &Summary, time: DateTime<Utc>) -> String {
         let mut line = self.start(time, summary.level, SUMMARY_EVENT);
-        let message = "repeated lines of one event were suppressed";
+        let message = "lines of one event were suppressed";
         line.insert("message".to_owned(), message.into());
         line.insert("repeated_event".to_owned(), (&*summary.event).into());
         line.insert("suppressed_count".to_owned(), summary.suppressed_count.into());
--- a/crates/yuccatack_telemetry/src/metrics/catalogue.rs
+++ b/crates/yuccatack_telemetry/src/metrics/catalogue.rs
@@ -33,7 +33,7 @@
 pub enum MetricUnit {
     /// Number of the things that the name states.
     Count,
-    /// Seconds, as a fraction.
+    /// Seconds, with a fractional part.
     Seconds,
     /// Share from 0 to 1.
     Ratio,
--- a/crates/yuccatack_telemetry/src/metrics/labels.rs
+++ b/crates/yuccatack_telemetry/src/metrics/labels.rs
@@ -103,7 +103,7 @@
         NotRun => "not_run",
         /// The request was not executed because it is invalid; objectives do not count it.
         Invalid => "invalid",
-        /// It is not known if the request was executed.
+        /// It is not known whether the request was executed.
         Unknown => "unknown",
     }
 
@@ -129,7 +129,7 @@
         NotRun => "not_run",
         /// The organisation cancelled the job.
         Cancelled => "cancelled",
-        /// It is not known if the job ran to its end.
+        /// It is not known whether the job ran to its end.
         Unknown => "unknown",
     }
 
--- a/crates/yuccatack_telemetry/src/metrics/objectives.rs
+++ b/crates/yuccatack_telemetry/src/metrics/objectives.rs
@@ -177,8 +177,8 @@
 fn count(list: Option<&Vec<Series>>, time: Option<Duration>) {
     for series in list.into_iter().flatten() {
         let threshold = Duration::from_millis(series.objective.threshold_ms);
-        // The good events are incremented first: a concurrent reading may then miss a bad event,
-        // but does not count a good event as bad.
+        // The good events are incremented first: a reading between the two increments then counts
+        // a bad event too few. The other order would count this good event as bad.
         if time.is_some_and(|time| time <= threshold) {
             series.good_events.inc();
         }
--- a/crates/yuccatack_telemetry/src/metrics/replication.rs
+++ b/crates/yuccatack_telemetry/src/metrics/replication.rs
@@ -39,7 +39,7 @@
         self.commit_latency.observe(latency.as_secs_f64());
     }
 
-    /// Counts a change of leader and records if this replica is the new leader.
+    /// Counts a change of leader and records whether this replica is the new leader.
     pub fn count_leader_change(&self, is_leader: bool) {
         self.leader_changes.inc();
         self.is_leader.set(is_leader.into());
