--- a/crates/yuccatack_control/src/heartbeat.rs
+++ b/crates/yuccatack_control/src/heartbeat.rs
@@ -39,7 +39,7 @@
         Err(error) => {
             log::error!(
                 event = "heartbeat_encoding_failed";
-                "cannot encode a heartbeat response: {error}; report this as a defect"
+                "cannot encode a heartbeat response: {error}; report this as a bug"
             );
             HeartbeatResponse { status: 500, body_json: "{}".into() }
         }
--- a/crates/yuccatack_control/src/pending.rs
+++ b/crates/yuccatack_control/src/pending.rs
@@ -87,7 +87,7 @@
                 log::error!(
                     event = "proposal_mismatch";
                     "proposal {proposal} by {waiting:?} has a result of another kind: {outcome:?}; \
-                     report this as a defect"
+                     report this as a bug"
                 );
             }
         }
--- a/crates/yuccatack_entry/src/operators.rs
+++ b/crates/yuccatack_entry/src/operators.rs
@@ -258,7 +258,7 @@
             log::error!(
                 event = "answer_encoding_failed";
                 "cannot encode the response to an operator as JSON: {error}; \
-                 sending an empty object; report this as a defect"
+                 sending an empty object; report this as a bug"
             );
             OperatorResponse { status: StatusCode::INTERNAL_SERVER_ERROR, body_json: "{}".into() }
         }
--- a/crates/yuccatack_leases/src/apply.rs
+++ b/crates/yuccatack_leases/src/apply.rs
@@ -173,7 +173,7 @@
         let Some(entry) = self.jobs.get_mut(job) else { return Vec::new() };
         assert!(
             entry.spec.idempotent || !entry.unsaved,
-            "job {job} is not idempotent and would run twice; report this fault"
+            "job {job} is not idempotent and would run twice; report this as a bug"
         );
         let JobPhase::Active(attempt) = &mut entry.phase else { return Vec::new() };
         attempt.phase = AttemptPhase::Running;
--- a/crates/yuccatack_leases/src/begin.rs
+++ b/crates/yuccatack_leases/src/begin.rs
@@ -206,7 +206,8 @@
             let Some(additional) = self.preemption_victims(part.worker, &victims) else {
                 let name = self.worker_name(part.worker);
                 panic!(
-                    "borrowers on worker {name:?} cannot free a guaranteed shape; report this fault"
+                    "borrowers on worker {name:?} cannot free a guaranteed shape; \
+                     report this as a bug"
                 );
             };
             victims.extend(additional);
--- a/crates/yuccatack_leases/src/invariant.rs
+++ b/crates/yuccatack_leases/src/invariant.rs
@@ -20,7 +20,7 @@
             return;
         }
         if let Err(violation) = self.verify() {
-            panic!("lease table is inconsistent: {violation}; report this fault");
+            panic!("lease table is inconsistent: {violation}; report this as a bug");
         }
     }
 
--- a/crates/yuccatack_replication/src/encoding.rs
+++ b/crates/yuccatack_replication/src/encoding.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Snafu)]
 pub enum EncodingError {
     /// The value has no MessagePack representation.
-    #[snafu(display("cannot encode a command: {source}; report this as a defect"))]
+    #[snafu(display("cannot encode a command: {source}; report this as a bug"))]
     Encode {
         /// Error of the MessagePack encoder.
         source: rmp_serde::encode::Error,
