--- a/crates/yuccatack_dispatch/src/capacity.rs
+++ b/crates/yuccatack_dispatch/src/capacity.rs
@@ -21,7 +21,7 @@
     /// Capacity that is free once all runs that are being stopped have ended.
     pub free_after_stops: Resources,
     pub total: Resources,
-    /// Set if no run failed here recently, so that the worker may get a task's last attempt.
+    /// `true` if no run failed here recently, so that the worker may get a task's last attempt.
     pub reliable: bool,
     /// Reserved for a group that is more urgent than those placed later in the pass.
     pub reserved: bool,
--- a/crates/yuccatack_dispatch/src/demand.rs
+++ b/crates/yuccatack_dispatch/src/demand.rs
@@ -16,7 +16,7 @@
     /// Number that the runs of all tasks get.
     pub run_number: u32,
     pub urgency: Urgency,
-    /// Set if one more failure fails the job.
+    /// `true` if one more failure fails the job.
     pub last_attempt: bool,
 }
 
--- a/crates/yuccatack_dispatch/src/headroom.rs
+++ b/crates/yuccatack_dispatch/src/headroom.rs
@@ -1,6 +1,6 @@
 //! Capacity that is kept free for urgent work, so that it begins without an eviction.
 //!
-//! An eviction takes up to the stop time-out, which is most of the slack that the objective of a
+//! An eviction takes up to the stop timeout, which is most of the slack that the objective of a
 //! short urgent job leaves beyond its run time.
 
 use std::cmp::Reverse;
--- a/crates/yuccatack_dispatch/src/protocol.rs
+++ b/crates/yuccatack_dispatch/src/protocol.rs
@@ -35,7 +35,7 @@
     pub labels: Vec<Arc<str>>,
     /// Rack of the worker, which is its last label; `None` without labels.
     pub rack: Option<Arc<str>>,
-    /// Set if the worker is about to leave and takes no new work.
+    /// `true` if the worker is about to leave and takes no new work.
     pub draining: bool,
     /// Minimum time until a draining worker leaves; `None` if it is not known.
     pub remaining_ms: Option<DurationMs>,
--- a/crates/yuccatack_dispatch/src/session.rs
+++ b/crates/yuccatack_dispatch/src/session.rs
@@ -24,7 +24,7 @@
 /// Session of a node's agent and the worker behind it.
 #[derive(Debug, Default)]
 pub(crate) struct Session {
-    /// Set while the agent's stream is open.
+    /// `true` while the agent's stream is open.
     pub connected: bool,
     /// Latest announcement of the worker; `None` if it has not announced itself or has left.
     pub state: Option<WorkerState>,
--- a/crates/yuccatack_dispatch/src/settings.rs
+++ b/crates/yuccatack_dispatch/src/settings.rs
@@ -34,7 +34,7 @@
 /// Time without a result after which a start may have been lost with the agent's process.
 pub(crate) const START_RESULT_TIMEOUT_MS: DurationMs = DurationMs::new(2_000);
 
-/// Time beyond the stop time-out after which an unconfirmed stop is sent again.
+/// Time beyond the stop timeout after which an unconfirmed stop is sent again.
 pub(crate) const STOP_RESEND_MARGIN_MS: DurationMs = DurationMs::new(300);
 
 /// Age of the last clock reading beyond which a worker gets no new runs. Agents poll the clock
--- a/crates/yuccatack_leases/src/apply.rs
+++ b/crates/yuccatack_leases/src/apply.rs
@@ -9,8 +9,8 @@
 
 /// Time for which finished jobs are retained, so that callers can query the result.
 const JOB_RETENTION: DurationMs = DurationMs::from_seconds(24 * 3600);
-/// Most finished jobs retained, to bound memory during bursts. At the design load of 8,600 jobs a
-/// day it covers more than five days.
+/// Maximum number of finished jobs retained, to bound memory during bursts. At the design load of
+/// 8,600 jobs a day it covers more than five days.
 const MAX_FINISHED_JOBS: usize = 50_000;
 
 impl LeaseTable {
@@ -196,7 +196,7 @@
         }
         let Some(entry) = self.jobs.get_mut(job) else { return Vec::new() };
         let Some(attempt) = entry.attempt() else { return Vec::new() };
-        // A time-out is decided for a phase that may have passed since.
+        // A timeout is decided for a phase that may have passed since.
         let phase_passed = match &reason {
             StopReason::PrepareOverdue => attempt.phase != AttemptPhase::Preparing,
             StopReason::CheckpointOverdue => {
--- a/crates/yuccatack_leases/src/check.rs
+++ b/crates/yuccatack_leases/src/check.rs
@@ -46,7 +46,7 @@
         job: JobName,
         /// Number of tasks in the gang.
         task_count: u32,
-        /// Most tasks of the gang that fit into one empty domain.
+        /// Maximum number of tasks of the gang that fit into one empty domain.
         possible_count: u32,
         /// Adjacency that the gang requires.
         adjacency: Adjacency,
@@ -149,7 +149,7 @@
         Ok(())
     }
 
-    /// Returns the most tasks of `shape` that fit into one empty domain.
+    /// Returns the maximum number of tasks of `shape` that fit into one empty domain.
     fn largest_gang(&self, shape: &Shape) -> u32 {
         let mut slots: FastHashMap<u32, u32> = FastHashMap::default();
         for (index, capacity) in self.cluster.workers() {
--- a/crates/yuccatack_leases/src/defragment.rs
+++ b/crates/yuccatack_leases/src/defragment.rs
@@ -15,18 +15,18 @@
 const MIN_RUN_TIME_BEFORE_MOVE: DurationMs = DurationMs::from_seconds(120);
 /// Expected remaining run time below which a move costs more than it gains.
 const MIN_REMAINING_RUN_TIME: DurationMs = DurationMs::from_seconds(60);
-/// Most jobs moved at once. Each needs a search for its new placement, and all of them together
-/// must stay within the time of one decision.
+/// Maximum number of jobs moved at once. Each needs a search for its new placement, and all of them
+/// together must stay within the time of one decision.
 const MAX_MOVED_JOBS: usize = 8;
-/// Most jobs preempted at once for a starved job; they need no search. The largest gang has 64
-/// tasks.
+/// Maximum number of jobs preempted at once for a starved job; they need no search. The largest
+/// gang has 64 tasks.
 const MAX_PREEMPTED_JOBS: usize = 64;
 /// Minimum time between a search for moves and a consolidation search. The latter runs only while
 /// no job holds a reservation.
 const CONSOLIDATION_INTERVAL: DurationMs = DurationMs::from_seconds(10);
 /// Accelerators that a move must make usable; fewer are within the error of the estimate.
 const MIN_GAIN_ACCELERATORS: f64 = 1.0;
-/// Most jobs that one consolidation search considers.
+/// Maximum number of jobs that one consolidation search considers.
 const MAX_CONSOLIDATION_CANDIDATES: usize = 64;
 
 /// Jobs to move so that a gang fits on `workers`.
--- a/crates/yuccatack_leases/src/estimate.rs
+++ b/crates/yuccatack_leases/src/estimate.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use yuccatack_core::DurationMs;
 
-/// Most samples kept, because older runs predict the next one poorly.
+/// Maximum number of samples kept, because older runs predict the next one poorly.
 const MAX_SAMPLE_COUNT: usize = 64;
 /// Number of samples below which a quantile is mostly noise and the declared time is used.
 const MIN_SAMPLE_COUNT: usize = 5;
--- a/crates/yuccatack_leases/src/scheduling_pass.rs
+++ b/crates/yuccatack_leases/src/scheduling_pass.rs
@@ -15,17 +15,18 @@
 use crate::scheduler::Scheduler;
 use crate::table::{GuaranteeEntry, LeaseTable};
 
-/// Most decisions of one call. Decisions take effect only once they are logged; the bound keeps the
-/// overlay small and lets urgent jobs that arrive meanwhile go first in the next call.
+/// Maximum number of decisions of one scheduling pass. Decisions take effect only once they are
+/// logged; the bound keeps the overlay small and lets urgent jobs that arrive meanwhile go first in
+/// the next pass.
 const MAX_DECISIONS: usize = 64;
 /// Factor applied to the recorded demand at each placement; the weight of a placement halves after
 /// about 350 further ones.
 const DEMAND_DECAY: f64 = 0.998;
 /// Weight below which a shape is removed from the recorded demand.
 const MIN_DEMAND_WEIGHT: f64 = 0.5;
-/// Most jobs of one queue that are considered in one call.
+/// Maximum number of jobs of one queue that are considered in one scheduling pass.
 pub(crate) const MAX_SCANNED_JOBS: usize = 128;
-/// Most placement searches of one call, successful or not.
+/// Maximum number of placement searches of one scheduling pass, successful or not.
 const MAX_SEARCHES: usize = 256;
 /// Waiting time after which a batch job is treated as a standard one.
 const BATCH_AGING_THRESHOLD: DurationMs = DurationMs::from_seconds(30 * 60);
@@ -120,7 +121,7 @@
     commands
 }
 
-/// One round of placements, over an overlay of the decisions made so far.
+/// One scheduling pass, over an overlay of the decisions made so far.
 pub(crate) struct SchedulingPass<'a> {
     pub(crate) table: &'a LeaseTable,
     pub(crate) now: TimestampMs,
--- a/crates/yuccatack_leases/src/spec.rs
+++ b/crates/yuccatack_leases/src/spec.rs
@@ -66,7 +66,7 @@
 pub struct QuotaSpec {
     /// Name of the organisation that the quota applies to.
     pub organisation: OrganisationName,
-    /// Most accelerators that its jobs may hold at once, guaranteed or borrowed.
+    /// Maximum number of accelerators that its jobs may hold at once, guaranteed or borrowed.
     pub accelerator_quota_count: u32,
     /// Share of the organisation relative to others while jobs wait; 0 counts as 1.
     pub fair_share_weight: u32,
--- a/crates/yuccatack_leases/tests/guarantee_claim.rs
+++ b/crates/yuccatack_leases/tests/guarantee_claim.rs
@@ -65,7 +65,7 @@
 }
 
 /// Guards against an urgent claim that starts later than 8.3 s, both when borrowers checkpoint in
-/// time and when they exceed the checkpoint time-out.
+/// time and when they exceed the checkpoint timeout.
 #[test]
 fn reclaims_in_time() {
     for checkpoint_ms in [200, 10_000] {
--- a/crates/yuccatack_queues/src/configuration.rs
+++ b/crates/yuccatack_queues/src/configuration.rs
@@ -85,7 +85,7 @@
     pub allowance_ms: DurationMs,
     /// Time limit of one call; at least 1 ms.
     pub call_timeout_ms: DurationMs,
-    /// Set if calls need no key.
+    /// `true` if calls need no key.
     pub public: bool,
 }
 
@@ -94,7 +94,7 @@
 pub struct Service {
     /// Name by which queues refer to the pool.
     pub name: ServiceName,
-    /// Set if the workers themselves refuse tasks that do not fit.
+    /// `true` if the workers themselves refuse tasks that do not fit.
     pub admission_control: bool,
 }
 
--- a/crates/yuccatack_queues/src/validation.rs
+++ b/crates/yuccatack_queues/src/validation.rs
@@ -24,10 +24,10 @@
         /// Queue with the same host and prefix.
         second: QueueName,
     },
-    /// A queue has a call time-out of zero.
+    /// A queue has a call timeout of zero.
     #[snafu(display("queue `{queue}` has a timeout of 0; set at least 1 ms"))]
     ZeroTimeout {
-        /// Queue with the time-out.
+        /// Queue with the timeout.
         queue: QueueName,
     },
     /// Two organisations share a key.
--- a/crates/yuccatack_records/src/wire/document.rs
+++ b/crates/yuccatack_records/src/wire/document.rs
@@ -140,9 +140,9 @@
     }
 }
 
-/// Deserialises a wire type and converts it to the internal type.
+/// Deserializes a wire type and converts it to the internal type.
 ///
-/// A key that fails is reported and removed, and deserialisation is retried with the rest, so that
+/// A key that fails is reported and removed, and deserialization is retried with the rest, so that
 /// one pass reports all problems. `OtherWire` is the other schema version of the kind; its keys are
 /// reported with a hint at the version.
 fn read<Wire, OtherWire, Internal>(
@@ -325,7 +325,7 @@
     }
 }
 
-/// Returns the keys that a wire type deserialises, so that they are declared only once.
+/// Returns the keys that a wire type deserializes, so that they are declared only once.
 fn known_keys<Wire: DeserializeOwned>() -> &'static [&'static str] {
     let mut keys: &'static [&'static str] = &[];
     // `KeyRecorder` always fails after recording the keys.
--- a/crates/yuccatack_runs/src/progress.rs
+++ b/crates/yuccatack_runs/src/progress.rs
@@ -47,7 +47,7 @@
 /// Progress of one task.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskProgress {
-    /// Set once the task has completed.
+    /// `true` once the task has completed.
     pub done: bool,
     /// Number of the last run; 0 before the first one.
     pub last_run: u32,
--- a/crates/yuccatack_runs/src/spec.rs
+++ b/crates/yuccatack_runs/src/spec.rs
@@ -43,11 +43,11 @@
     pub estimated_run_ms: DurationMs,
     /// Indexes of the earlier steps that must complete first.
     pub after: Vec<u32>,
-    /// Set if the tasks save checkpoints and can resume from them.
+    /// `true` if the tasks save checkpoints and can resume from them.
     pub checkpointing: bool,
-    /// Set if the tasks form a gang, which only makes progress while all of them run.
+    /// `true` if the tasks form a gang, which only makes progress while all of them run.
     pub gang: bool,
-    /// Set if the tasks run slower when they are spread over several racks.
+    /// `true` if the tasks run slower when they are spread over several racks.
     pub rack_local: bool,
     /// Label that a worker must have to run the tasks.
     pub required_label: Option<Arc<str>>,
@@ -55,15 +55,15 @@
     pub data_rack: Option<Arc<str>>,
     /// Maximum number of tasks of the step on one worker; `None` for no limit.
     pub tasks_per_worker: Option<u32>,
-    /// Set if several copies of a task may run at the same time.
+    /// `true` if several copies of a task may run at the same time.
     pub speculative: bool,
-    /// Set if the tasks run until the job is cancelled.
+    /// `true` if the tasks run until the job is cancelled.
     pub long_running: bool,
     /// Image that the tasks run; tasks of the same image behave alike.
     pub image: Option<Arc<str>>,
     /// Upper bound on the tail latency, for tasks that serve users.
     pub latency_target_ms: Option<DurationMs>,
-    /// Set if the tasks only use CPU time that others leave idle, so that they occupy no cores.
+    /// `true` if the tasks only use CPU time that others leave idle, so that they occupy no cores.
     #[serde(rename = "fills")]
     pub uses_idle_cpu: bool,
     /// Number of tasks of a long-running step that planned maintenance may make unavailable at
--- a/crates/yuccatack_stand_ins/src/caller.rs
+++ b/crates/yuccatack_stand_ins/src/caller.rs
@@ -46,12 +46,12 @@
 }
 
 impl CallerStandIn {
-    /// Creates a caller of the entry at this address, with a time-out of 10 s for each call.
+    /// Creates a caller of the entry at this address, with a timeout of 10 s for each call.
     pub fn new(entry_address: SocketAddr) -> Self {
         Self { entry_address, timeout: Duration::from_secs(10) }
     }
 
-    /// Sets the time-out of a call, from connecting to the end of the response body.
+    /// Sets the timeout of a call, from connecting to the end of the response body.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
@@ -107,8 +107,8 @@
         self.send(Method::POST, &format!("/v1/requests/{service}"), &headers, body).await
     }
 
-    /// Sends a request and waits for the complete response. Fails with `TimedOut` after the
-    /// time-out.
+    /// Sends a request and waits for the complete response. Fails with `TimedOut` after
+    /// the timeout.
     pub async fn send(
         &self,
         method: Method,
--- a/crates/yuccatack_stand_ins/src/worker.rs
+++ b/crates/yuccatack_stand_ins/src/worker.rs
@@ -17,7 +17,7 @@
 
 use crate::worker_model::{AcceleratorConflict, TaskRecord, WorkerBehaviour, WorkerModel};
 
-/// Time-out of a heartbeat. A leader delays its reply by at most one heartbeat interval.
+/// Timeout of a heartbeat. A leader delays its reply by at most one heartbeat interval.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Delay before the next control replica is tried after one refused or failed, and between the
 /// heartbeats of an unregistered worker.
--- a/crates/yuccatack_worker_agent/src/agent.rs
+++ b/crates/yuccatack_worker_agent/src/agent.rs
@@ -30,8 +30,9 @@
 /// confirmed stops wait for the next poll, so it must stay well below the time limit of a stop.
 const POLL_WAIT: DurationMs = DurationMs::new(250);
 
-/// Delay after a poll that listed ends which the leader has not stored yet. While the worker lists
-/// any, it responds to the next poll at once, so polls without a delay would form a busy loop.
+/// Delay after a poll that listed run ends which the leader has not stored yet. While the worker
+/// lists any, it responds to the next poll at once, so polls without a delay would form a busy
+/// loop.
 const UNACKNOWLEDGED_ENDS_DELAY: Duration = Duration::from_millis(150);
 
 /// Delay after a failed poll.
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Records that the leader has stored ends, which the worker can discard at the next poll.
+    /// Records that the leader has stored run ends, which the worker can discard at the next poll.
     fn acknowledge_ends(&mut self, acknowledged_end: u64) {
         if acknowledged_end <= self.acknowledged_end {
             return;
--- a/crates/yuccatack_worker_agent/src/port.rs
+++ b/crates/yuccatack_worker_agent/src/port.rs
@@ -96,7 +96,7 @@
     pub clock_ms: u64,
     /// Runs in progress.
     pub running: Vec<RunningRun>,
-    /// Ended runs that the leader has not acknowledged.
+    /// Run ends that the leader has not acknowledged.
     pub ended: Vec<EndedRun>,
 }
 
