--- a/crates/yuccatack_entry/tests/bad_callers.rs
+++ b/crates/yuccatack_entry/tests/bad_callers.rs
@@ -98,7 +98,7 @@
         stream.write_all(request.as_bytes()).await.unwrap();
         let started = Instant::now();
         let (mut reader, mut writer) = stream.split();
-        let drip = async {
+        let slow_writes = async {
             loop {
                 tokio::time::sleep(Duration::from_millis(250)).await;
                 if writer.write_all(b"x").await.is_err() {
@@ -109,7 +109,7 @@
         let mut received = Vec::new();
         tokio::select! {
             _ = reader.read_to_end(&mut received) => {}
-            () = drip => {}
+            () = slow_writes => {}
             () = tokio::time::sleep(RESPONSE_TIMEOUT) => panic!("{request}: still open"),
         }
         let received = String::from_utf8_lossy(&received);
--- a/crates/yuccatack_leases/src/scheduler.rs
+++ b/crates/yuccatack_leases/src/scheduler.rs
@@ -149,7 +149,7 @@
         }
         let stale = session.reported.iter().filter(|(task, state)| {
             matches!(state, ReportedState::Prepared | ReportedState::Running)
-                && !is_held(table, entry, task)
+                && !is_assigned(table, entry, task)
         });
         // Stops come first, because a task below may be assigned the accelerators that they free.
         let stop = |(task, _): (&TaskReference, _)| WorkerCommand {
@@ -208,7 +208,7 @@
         let mut prepared: FastHashMap<(JobName, FencingEpoch), Vec<u32>> = FastHashMap::default();
         for reported in &report.tasks {
             let task = &reported.task;
-            if !is_held(table, entry, task) {
+            if !is_assigned(table, entry, task) {
                 continue;
             }
             let Some(attempt) = table.jobs.get(&task.job).and_then(|job| job.attempt()) else {
@@ -336,7 +336,7 @@
 }
 
 /// Returns `true` if the table assigns this task to this worker under this epoch.
-fn is_held(table: &LeaseTable, worker: &WorkerEntry, task: &TaskReference) -> bool {
+fn is_assigned(table: &LeaseTable, worker: &WorkerEntry, task: &TaskReference) -> bool {
     let Some(attempt) = table.jobs.get(&task.job).and_then(|job| job.attempt()) else {
         return false;
     };
@@ -348,7 +348,7 @@
     let Some(entry) = table.workers.get(&report.registration.worker) else { return Vec::new() };
     let ended = |task: &&ReportedTask| {
         !matches!(task.state, ReportedState::Prepared | ReportedState::Running)
-            && !is_held(table, entry, &task.task)
+            && !is_assigned(table, entry, &task.task)
     };
     report.tasks.iter().filter(ended).map(|task| task.task.clone()).collect()
 }
--- a/crates/yuccatack_replication/src/state/mod.rs
+++ b/crates/yuccatack_replication/src/state/mod.rs
@@ -177,7 +177,7 @@
     /// Returns the outputs of all inputs since the last call.
     pub fn take_outputs(&mut self) -> Outputs {
         self.replicate();
-        self.seal_batch();
+        self.close_batch();
         let mut outputs = std::mem::take(&mut self.outputs);
         outputs.next_tick = self.next_tick();
         outputs
--- a/crates/yuccatack_replication/src/state/outputs.rs
+++ b/crates/yuccatack_replication/src/state/outputs.rs
@@ -80,7 +80,7 @@
     }
 
     /// Moves the collected writes into a batch for the next outputs.
-    pub(super) fn seal_batch(&mut self) {
+    pub(super) fn close_batch(&mut self) {
         if self.operations.is_empty() {
             return;
         }
