--- a/crates/yuccatack_agent/src/exchange.rs
+++ b/crates/yuccatack_agent/src/exchange.rs
@@ -44,7 +44,7 @@
     pub content: RequestContent,
     /// Address of the minion.
     pub minion_address: SocketAddr,
-    /// Time at which the caller gives up, computed when the attempt arrived.
+    /// Time at which the caller stops waiting, computed when the attempt arrived.
     pub deadline: Instant,
     /// View of the records; the request is sent only while it is fresh.
     pub view: ViewHandle,
--- a/crates/yuccatack_control/src/actor.rs
+++ b/crates/yuccatack_control/src/actor.rs
@@ -404,7 +404,7 @@
             Role::Leader(_) => return Some(reply),
             Role::Follower { leader_address } => not_leader(*leader_address),
         };
-        // An error means that the caller gave up.
+        // An error means that the caller has stopped waiting.
         let _ = reply.send(Err(failure));
         None
     }
--- a/crates/yuccatack_control/src/leader.rs
+++ b/crates/yuccatack_control/src/leader.rs
@@ -103,7 +103,7 @@
     pub fn check_succeeded(&mut self) -> bool {
         self.checking = false;
         for (reply, response) in self.confirming.drain(..) {
-            // A worker that gave up sends its next heartbeat.
+            // A worker that stopped waiting sends its next heartbeat.
             let _ = reply.send(Ok(response));
         }
         !self.unconfirmed.is_empty()
--- a/crates/yuccatack_control/src/pending.rs
+++ b/crates/yuccatack_control/src/pending.rs
@@ -73,7 +73,7 @@
     /// `None` if it is not pending here.
     pub fn complete(&mut self, proposal: ProposalId, outcome: ControlOutcome) -> Option<Duration> {
         let (proposed_at, waiting) = self.proposals.remove(&proposal)?;
-        // An error means that the caller gave up; its resend finds the applied command.
+        // An error means that the caller has stopped waiting; its resend finds the applied command.
         match (waiting, outcome) {
             (PendingProposal::Change(reply), ControlOutcome::Change(outcome)) => {
                 let _ = reply.send(Ok(outcome));
--- a/crates/yuccatack_control_client/src/actor.rs
+++ b/crates/yuccatack_control_client/src/actor.rs
@@ -97,7 +97,7 @@
             match message {
                 DirectoryMessage::Choose { avoid, reply } => {
                     if let Some(target) = self.choose(avoid) {
-                        // An error means that the caller gave up.
+                        // An error means that the caller has stopped waiting.
                         let _ = reply.send(target);
                     }
                 }
--- a/crates/yuccatack_replication/src/handle.rs
+++ b/crates/yuccatack_replication/src/handle.rs
@@ -136,7 +136,7 @@
     }
 
     /// Transfers leadership to another voter; returns when this replica does not lead, or when the
-    /// transfer was given up because it timed out or no other voter has responded recently.
+    /// transfer was aborted because it timed out or no other voter has responded recently.
     pub async fn transfer_leadership(&self) {
         let (reply, answer) = oneshot::channel();
         self.cast(ActorMessage::TransferLeadership(reply));
